--- a/crates/endpoints/src/subset.rs
+++ b/crates/endpoints/src/subset.rs
@@ -21,7 +21,7 @@
     /// Number of live upstreams.
     pub upstreams: usize,
     /// Connections a proxy wishes to have to one upstream.
-    pub wished_connections: u32,
+    pub desired_connections: u32,
 }
 
 /// Number of upstreams one proxy uses, and connections it may have to each.
@@ -30,7 +30,7 @@
     let planned = parameters.upstream_connections * PLANNED_CONNECTIONS_PERCENT / 100;
     let whole = u64::from(planned) * upstreams as u64;
     let share = (whole / u64::from(parameters.subscribers.max(1))).max(1) as u32;
-    let wished = parameters.wished_connections.max(1);
+    let wished = parameters.desired_connections.max(1);
     let size = (share / wished) as usize;
     let size = size.clamp(MIN_SUBSET.min(upstreams), upstreams);
     let connections = (share / size as u32).clamp(1, planned.max(1));
--- a/crates/forward/src/balance.rs
+++ b/crates/forward/src/balance.rs
@@ -115,7 +115,7 @@
             upstream_connections: service.upstream_connections,
             subscribers: view.subscribers(&service.name),
             upstreams: live.len(),
-            wished_connections: WISHED_CONNECTIONS,
+            desired_connections: WISHED_CONNECTIONS,
         });
         let identity = &self.identity;
         let chosen = choose_subset(
--- a/crates/placement/examples/choice_cost.rs
+++ b/crates/placement/examples/choice_cost.rs
@@ -1,7 +1,7 @@
 //! What one choice costs by the size of the service: `cargo run --release --example choice_cost`.
 
 use mesh::{InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track};
-use placement::{Locality, PlacementView, Request, TimeSpread, Urgency};
+use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
@@ -48,7 +48,7 @@
                 track: Track::Stable,
                 urgency: Urgency { rank: 1, target_ms: 400 },
                 usual_ms: 100.0,
-                spread: &TimeSpread::default(),
+                spread: &LatencyHistogram::default(),
                 moved_bytes: 1_500.0,
                 target_ms: 400.0,
                 body_bytes: 0,
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -28,20 +28,20 @@
 
 /// Who asks for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskedBy {
+pub enum RequestOrigin {
     /// A caller, whose work is new.
     Caller,
     /// A run that holds a slot until the call ends.
-    Run,
+    RunningRequest,
 }
 
 /// What a node did about repeats at one service, in a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RepeatTally {
+pub struct RetryCounts {
     /// Requests noted.
     pub requests: u32,
     /// Arrivals past the first of a request.
-    pub repeats: u32,
+    pub retries: u32,
     /// Those of them that were hedged second tries.
     pub hedges: u32,
     /// Times that a repeat was not allowed; one call may ask more than once.
@@ -54,7 +54,7 @@
     bounds: BudgetBounds,
     fleet: FleetSize,
     accounts: BTreeMap<String, Account>,
-    tallies: BTreeMap<String, RepeatTally>,
+    tallies: BTreeMap<String, RetryCounts>,
 }
 
 impl RetryBudget {
@@ -74,13 +74,13 @@
     }
 
     /// What was done at each service since this was last asked.
-    pub fn take_tallies(&mut self) -> BTreeMap<String, RepeatTally> {
+    pub fn take_counts(&mut self) -> BTreeMap<String, RetryCounts> {
         std::mem::take(&mut self.tallies)
     }
 
-    fn tally(&mut self, service: &str) -> &mut RepeatTally {
+    fn tally(&mut self, service: &str) -> &mut RetryCounts {
         if !self.tallies.contains_key(service) {
-            self.tallies.insert(service.to_owned(), RepeatTally::default());
+            self.tallies.insert(service.to_owned(), RetryCounts::default());
         }
         self.tallies.get_mut(service).expect("inserted above")
     }
@@ -107,21 +107,21 @@
     }
 
     /// Notes a request.
-    pub fn note_request(&mut self, service: &str, asked_by: AskedBy, now: Millis) {
+    pub fn note_request(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
         self.tally(service).requests += 1;
         let (bounds, share) = (self.bounds, self.share(now));
         self.account(service, now).earn(asked_by, &bounds, share, now);
     }
 
     /// Notes an arrival at an upstream past the first of its request.
-    pub fn note_repeat(&mut self, service: &str, asked_by: AskedBy, now: Millis) {
-        self.tally(service).repeats += 1;
+    pub fn note_retry(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
+        self.tally(service).retries += 1;
         self.refilled(service, now).spend(asked_by);
     }
 
     /// Notes a hedged second try, which counts as a repeat.
-    pub fn note_hedge(&mut self, service: &str, asked_by: AskedBy, now: Millis) {
-        self.note_repeat(service, asked_by, now);
+    pub fn note_hedge(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
+        self.note_retry(service, asked_by, now);
         self.tally(service).hedges += 1;
         self.refilled(service, now).spend_on_hedge();
     }
@@ -130,7 +130,7 @@
     pub fn allows_hedge(
         &mut self,
         service: &str,
-        asked_by: AskedBy,
+        asked_by: RequestOrigin,
         nodes: usize,
         now: Millis,
     ) -> bool {
@@ -141,7 +141,13 @@
 
     /// Whether one more repeat fits, while `nodes` nodes are known. Runs may use all that is left,
     /// callers all but what the requests of runs earned and have not used.
-    pub fn allows(&mut self, service: &str, asked_by: AskedBy, nodes: usize, now: Millis) -> bool {
+    pub fn allows(
+        &mut self,
+        service: &str,
+        asked_by: RequestOrigin,
+        nodes: usize,
+        now: Millis,
+    ) -> bool {
         self.note_nodes(nodes, now);
         let allowed = self.refilled(service, now).left(asked_by) >= 1.0;
         self.tally(service).refused += u32::from(!allowed);
--- a/crates/placement/src/budget/account.rs
+++ b/crates/placement/src/budget/account.rs
@@ -1,6 +1,6 @@
 //! What one node may send again to one service.
 
-use super::{AskedBy, BudgetBounds};
+use super::{BudgetBounds, RequestOrigin};
 use crate::Millis;
 use std::collections::VecDeque;
 
@@ -81,26 +81,32 @@
     }
 
     /// Takes in a request.
-    pub fn earn(&mut self, asked_by: AskedBy, bounds: &BudgetBounds, share: f64, now: Millis) {
+    pub fn earn(
+        &mut self,
+        asked_by: RequestOrigin,
+        bounds: &BudgetBounds,
+        share: f64,
+        now: Millis,
+    ) {
         let slice = self.slice(bounds.window_ms, now);
         match asked_by {
-            AskedBy::Caller => slice.by_callers += 1,
-            AskedBy::Run => slice.by_runs += 1,
+            RequestOrigin::Caller => slice.by_callers += 1,
+            RequestOrigin::RunningRequest => slice.by_runs += 1,
         }
         self.refill(bounds, share, now);
         let earned = bounds.ratio * EARNED_PART;
         match asked_by {
-            AskedBy::Caller => self.by_callers += earned,
-            AskedBy::Run => self.by_runs += earned,
+            RequestOrigin::Caller => self.by_callers += earned,
+            RequestOrigin::RunningRequest => self.by_runs += earned,
         }
         self.hedges += earned * HEDGED_PART;
     }
 
     /// Takes out a repeat.
-    pub fn spend(&mut self, asked_by: AskedBy) {
+    pub fn spend(&mut self, asked_by: RequestOrigin) {
         match asked_by {
-            AskedBy::Caller => self.by_callers -= 1.0,
-            AskedBy::Run => self.by_runs -= 1.0,
+            RequestOrigin::Caller => self.by_callers -= 1.0,
+            RequestOrigin::RunningRequest => self.by_runs -= 1.0,
         }
     }
 
@@ -116,10 +122,10 @@
 
     /// What may be spent, in repeats. Runs may use all, callers all but what the requests of runs
     /// earned and have not used.
-    pub fn left(&self, asked_by: AskedBy) -> f64 {
+    pub fn left(&self, asked_by: RequestOrigin) -> f64 {
         match asked_by {
-            AskedBy::Caller => self.by_callers + self.by_runs.min(0.0),
-            AskedBy::Run => self.by_callers + self.by_runs,
+            RequestOrigin::Caller => self.by_callers + self.by_runs.min(0.0),
+            RequestOrigin::RunningRequest => self.by_callers + self.by_runs,
         }
     }
 }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::locality::link_cost;
 use crate::service_keys::ServiceKeys;
 use crate::upstream::Expected;
-use crate::{Distance, Millis, PlacementView, TimeSpread, Upstream, UpstreamKey, Urgency};
+use crate::{Distance, LatencyHistogram, Millis, PlacementView, Upstream, UpstreamKey, Urgency};
 use mesh::Track;
 
 /// Share of failures that may be chance, or the fault of others that all need.
@@ -44,7 +44,7 @@
     /// What the call takes at an upstream of average speed, milliseconds.
     pub usual_ms: f64,
     /// How the times of its like are spread around that.
-    pub spread: &'a TimeSpread,
+    pub spread: &'a LatencyHistogram,
     /// What such a call and its answer move over links, bytes.
     pub moved_bytes: f64,
     /// Time left until its answer is worth less, milliseconds.
@@ -118,7 +118,7 @@
     ) -> Option<UpstreamKey> {
         let idle = |held: &Upstream| {
             let free = held.free_slots(now).is_some_and(|free| free >= IDLE_SLOTS);
-            free && !held.is_resting(now) && !held.is_cold(now)
+            free && !held.is_backing_off(now) && !held.is_cold(now)
         };
         self.choose_of(&Wanted { track: Track::Stable, fits: idle, request }, now, random)
     }
@@ -145,7 +145,7 @@
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> bool {
-        if !Distance::Far.is_too_dear(wanted.request.answer_bytes()) {
+        if !Distance::OtherZone.is_too_costly(wanted.request.answer_bytes()) {
             return false;
         }
         let best = self.best_of(wanted, Links::Ignored, now, random);
@@ -190,7 +190,7 @@
             }
             let tried = request.tried.contains(key);
             let answer_bytes = request.answer_bytes();
-            let leaves = distance != Distance::Own && answer_bytes > LARGE_ANSWER_BYTES;
+            let leaves = distance != Distance::Local && answer_bytes > LARGE_ANSWER_BYTES;
             let link_full = leaves && held.is_link_full(now);
             let barred = match links {
                 Links::Counted => tried || link_full,
@@ -204,7 +204,7 @@
             let varied = 1.0 + VARIATION * random.f64();
             let expected = held.expected(request.usual_ms * varied, now);
             let transfer_ms =
-                match distance != Distance::Own && self.offers(held, request.body_bytes) {
+                match distance != Distance::Local && self.offers(held, request.body_bytes) {
                     true => held.transfer_ms(request.body_bytes, now),
                     false => 0.0,
                 };
@@ -216,15 +216,15 @@
                 false => 0.0,
             };
             // The upstream beside this node needs no link.
-            let in_use = match distance == Distance::Own || links == Links::Ignored {
+            let in_use = match distance == Distance::Local || links == Links::Ignored {
                 true => 0.0,
                 false => link_cost(held.link_in_use(now)),
             };
             let cost = cost(held, distance, expected, transfer_ms + answer_ms, request, now);
-            let standby = match held.is_resting(now) {
+            let standby = match held.is_backing_off(now) {
                 true => Standby::Resting,
                 false
-                    if distance != Distance::Own
+                    if distance != Distance::Local
                         && !held.cold_part().has_room(cold_spacing_ms, now) =>
                 {
                     Standby::Cold
--- a/crates/placement/src/hedge.rs
+++ b/crates/placement/src/hedge.rs
@@ -5,7 +5,7 @@
 //! short at another, so a second one, begun when the first is longer than nearly all of its like,
 //! is in time where the first is not. Pure: the caller says what is usual, and how much time is left.
 
-use crate::TimeSpread;
+use crate::LatencyHistogram;
 
 /// Part of calls that may be looked at for a second try: those beyond this part of the times. "The
 /// Tail at Scale" takes a twentieth; one in ten is looked at, since a target of three times the usual
@@ -29,7 +29,7 @@
     /// Pace of the upstream that has it: how long it takes, relative to what is usual.
     pub pace: f64,
     /// How the times of its like are spread.
-    pub spread: &'a TimeSpread,
+    pub spread: &'a LatencyHistogram,
     /// Time until its answer is worth less, milliseconds.
     pub target_ms: f64,
     /// Time until its caller stops waiting, milliseconds.
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -20,17 +20,17 @@
 mod upstream;
 mod view;
 
-pub use budget::{AskedBy, BudgetBounds, RepeatTally, RetryBudget};
+pub use budget::{BudgetBounds, RequestOrigin, RetryBudget, RetryCounts};
 pub use canary_share::CanaryShares;
 pub use choice::Request;
 pub use cold_part::PRESUMED_COLD_MS;
 pub use hedge::HedgePlan;
 pub use locality::{Distance, Locality, Regions};
-pub use pressure::{CallEnd, Pressure};
+pub use pressure::{CallEnd, LoadShedder};
 pub use split::WeightedSplit;
-pub use spread::TimeSpread;
+pub use spread::LatencyHistogram;
 pub use throttle::Throttle;
-pub use times::{ClassTimes, Seen};
+pub use times::{LatencySample, RouteLatencies};
 pub use upstream::{Upstream, UpstreamKey, Urgency};
 pub use view::{NodeChange, PlacementView};
 
--- a/crates/placement/src/locality.rs
+++ b/crates/placement/src/locality.rs
@@ -60,13 +60,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     /// Beside this node.
-    Own,
+    Local,
     /// In its zone.
-    Zone,
+    SameZone,
     /// In another zone of its region.
-    Far,
+    OtherZone,
     /// In another region.
-    Remote,
+    OtherRegion,
 }
 
 impl Locality {
@@ -98,10 +98,10 @@
     /// How far a node is.
     pub fn distance(&self, record: &NodeRecord) -> Distance {
         match record.address == self.own {
-            true => Distance::Own,
-            false if *record.zone == *self.zone => Distance::Zone,
-            false if self.regions.are_one(&self.zone, &record.zone) => Distance::Far,
-            false => Distance::Remote,
+            true => Distance::Local,
+            false if *record.zone == *self.zone => Distance::SameZone,
+            false if self.regions.are_one(&self.zone, &record.zone) => Distance::OtherZone,
+            false => Distance::OtherRegion,
         }
     }
 }
@@ -109,21 +109,21 @@
 impl Distance {
     /// Whether it is in another zone.
     pub fn leaves_zone(self) -> bool {
-        matches!(self, Self::Far | Self::Remote)
+        matches!(self, Self::OtherZone | Self::OtherRegion)
     }
 
     /// Time to it and back over links that are not busy, milliseconds.
     pub fn usual_ms(self) -> f64 {
         match self {
-            Self::Own => 0.0,
-            Self::Zone => 0.5,
-            Self::Far => 3.0,
-            Self::Remote => REMOTE_MS,
+            Self::Local => 0.0,
+            Self::SameZone => 0.5,
+            Self::OtherZone => 3.0,
+            Self::OtherRegion => REMOTE_MS,
         }
     }
 
     /// Whether an answer of this length costs more to be brought from there than its call is worth.
-    pub fn is_too_dear(self, answer_bytes: f64) -> bool {
+    pub fn is_too_costly(self, answer_bytes: f64) -> bool {
         self.leaves_zone() && answer_bytes / BYTES_PER_KB * COST_PER_KB > WORTH_OF_A_CALL
     }
 
@@ -132,13 +132,13 @@
     /// links.
     pub fn cost(self, moved_bytes: f64) -> f64 {
         match self {
-            Self::Own => 0.0,
-            Self::Zone => MESSAGE_COST,
-            Self::Far => {
+            Self::Local => 0.0,
+            Self::SameZone => MESSAGE_COST,
+            Self::OtherZone => {
                 let bytes = (moved_bytes + HEAD_BYTES) / BYTES_PER_KB;
                 MESSAGE_COST + (bytes * COST_PER_KB).min(MOST_BYTES_COST)
             }
-            Self::Remote => Self::Far.cost(moved_bytes) + REMOTE_COST,
+            Self::OtherRegion => Self::OtherZone.cost(moved_bytes) + REMOTE_COST,
         }
     }
 }
--- a/crates/placement/src/pressure.rs
+++ b/crates/placement/src/pressure.rs
@@ -77,7 +77,7 @@
     /// Answered late, failed, refused, or not answered.
     Missed,
     /// Never sent.
-    HeldBack,
+    Shed,
 }
 
 /// The calls of one service, by urgency.
@@ -108,18 +108,18 @@
         match end {
             CallEnd::InTime => ends.in_time += 1.0,
             CallEnd::Missed => ends.missed += 1.0,
-            CallEnd::HeldBack => ends.held_back += 1.0,
+            CallEnd::Shed => ends.held_back += 1.0,
         }
     }
 }
 
 /// What became of the calls for each service on one node.
 #[derive(Clone, Debug, Default)]
-pub struct Pressure {
+pub struct LoadShedder {
     services: BTreeMap<String, Seen>,
 }
 
-impl Pressure {
+impl LoadShedder {
     /// Takes in how a call ended.
     pub fn note(&mut self, service: &str, urgency: Urgency, end: CallEnd, now: Millis) {
         if !self.services.contains_key(service) {
@@ -130,7 +130,7 @@
     }
 
     /// Part of new calls of this urgency that is held back, 0 to 1.
-    pub fn held_back(&self, service: &str, urgency: Urgency, now: Millis) -> f64 {
+    pub fn shed_probability(&self, service: &str, urgency: Urgency, now: Millis) -> f64 {
         let Some(seen) = self.services.get(service) else {
             return 0.0;
         };
@@ -144,7 +144,7 @@
     }
 
     /// Most upstreams that a call is offered to now.
-    pub fn most_offers(&self, service: &str, now: Millis) -> u32 {
+    pub fn max_attempts(&self, service: &str, now: Millis) -> u32 {
         let sum = self.services.get(service).map_or(Ends::default(), |seen| seen.sum(now));
         match sum.missed + sum.held_back > sum.all() * LITTLE_ROOM + 1.0 {
             true => FEW_OFFERS,
--- a/crates/placement/src/service_keys.rs
+++ b/crates/placement/src/service_keys.rs
@@ -31,9 +31,9 @@
     /// Adds one that is so far away.
     pub fn add(&mut self, key: UpstreamKey, distance: Distance) {
         match distance {
-            Distance::Own | Distance::Zone => self.near.push(key),
-            Distance::Far => self.far.push(key),
-            Distance::Remote => self.remote.push(key),
+            Distance::Local | Distance::SameZone => self.near.push(key),
+            Distance::OtherZone => self.far.push(key),
+            Distance::OtherRegion => self.remote.push(key),
         }
     }
 
--- a/crates/placement/src/spread.rs
+++ b/crates/placement/src/spread.rs
@@ -20,18 +20,18 @@
 
 /// Ratios of times to the usual time, older ones weighing less.
 #[derive(Clone, Debug)]
-pub struct TimeSpread {
+pub struct LatencyHistogram {
     /// Weight of the ratios in each bin, and of those beyond the last.
     bins: [f32; BINS + 1],
 }
 
-impl Default for TimeSpread {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        TimeSpread { bins: [0.0; BINS + 1] }
+        LatencyHistogram { bins: [0.0; BINS + 1] }
     }
 }
 
-impl TimeSpread {
+impl LatencyHistogram {
     /// Takes in a time as a multiple of the usual one.
     pub fn note(&mut self, ratio: f64) {
         if !ratio.is_finite() {
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -63,7 +63,7 @@
     pub track: Track,
     /// How long it takes, relative to the others of its service, as this node learned alone; what the
     /// sidecar beside it tells goes first, see [`Upstream::pace`].
-    pub speed: f64,
+    pub learned_pace: f64,
     told_pace: Option<ToldPace>,
     /// When this node last learned anything of its speed.
     timed_at: Option<Millis>,
@@ -177,7 +177,7 @@
             record: record.clone(),
             outstanding: 0,
             track: Track::Stable,
-            speed: 1.0,
+            learned_pace: 1.0,
             told_pace: None,
             timed_at: None,
             cold: ColdPart::default(),
@@ -213,7 +213,7 @@
         }
         if other_instance {
             self.cold.restarted(now);
-            self.speed = 1.0;
+            self.learned_pace = 1.0;
             self.told_pace = None;
             self.timed_at = None;
         }
@@ -284,7 +284,7 @@
     }
 
     /// Whether it rests after failures.
-    pub fn is_resting(&self, now: Millis) -> bool {
+    pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.rest_until
     }
 
@@ -333,7 +333,7 @@
             return UNTRIED_PACE;
         }
         let cold = if self.is_cold(now) { COLD_FACTOR } else { 1.0 };
-        self.speed * cold
+        self.learned_pace * cold
     }
 
     /// Whether this node learned its speed of late. One whose first call took long would never be given
@@ -447,16 +447,16 @@
     }
 
     /// Notes the time a call spent with it, where `usual_ms` is usual.
-    pub fn note_time(&mut self, spent_ms: f64, usual_ms: f64, now: Millis) {
+    pub fn note_latency(&mut self, spent_ms: f64, usual_ms: f64, now: Millis) {
         if usual_ms <= 0.0 {
             return;
         }
         let seen = (spent_ms / usual_ms).clamp(FASTEST, SLOWEST);
         if !self.is_learned(now) {
-            self.speed = 1.0;
+            self.learned_pace = 1.0;
         }
         self.timed_at = Some(now);
-        self.speed += (seen - self.speed) * SPEED_WEIGHT;
+        self.learned_pace += (seen - self.learned_pace) * SPEED_WEIGHT;
     }
 
     /// Notes an answer: it can be reached.
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -220,7 +220,7 @@
 
     /// Part of the slots of a service that is free for all that was heard of late, 0 to 1; `None` if
     /// too little was heard to tell.
-    pub fn free_part(&self, service: &str, now: Millis) -> Option<f64> {
+    pub fn free_slot_fraction(&self, service: &str, now: Millis) -> Option<f64> {
         let (mut live, mut heard, mut slots, mut free) = (0, 0, 0.0, 0.0);
         for (_, held) in self.of_service(service).filter(|(_, held)| held.is_stable()) {
             live += 1;
--- a/crates/placement/tests/budget_fleet/mod.rs
+++ b/crates/placement/tests/budget_fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of nodes that send again whatever their budgets allow, while their processes end and
 //! start again and hear of each other late; what a service gets is held against the fleet's bound.
 
-use placement::{AskedBy, BudgetBounds, RetryBudget};
+use placement::{BudgetBounds, RequestOrigin, RetryBudget};
 use std::collections::VecDeque;
 
 pub const BOUNDS: BudgetBounds = BudgetBounds { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
@@ -13,9 +13,9 @@
 /// A node's bound on repeats.
 pub trait Budget {
     fn new(bounds: BudgetBounds) -> Self;
-    fn note_request(&mut self, asked_by: AskedBy, now: u64);
+    fn note_request(&mut self, asked_by: RequestOrigin, now: u64);
     /// Takes a repeat, if one fits while `nodes` nodes are known.
-    fn take(&mut self, asked_by: AskedBy, hedged: bool, nodes: usize, now: u64) -> bool;
+    fn take(&mut self, asked_by: RequestOrigin, hedged: bool, nodes: usize, now: u64) -> bool;
     /// What the next process of this node begins with.
     fn next_life(&self, bounds: BudgetBounds) -> Self;
 }
@@ -25,18 +25,18 @@
         RetryBudget::new(bounds)
     }
 
-    fn note_request(&mut self, asked_by: AskedBy, now: u64) {
+    fn note_request(&mut self, asked_by: RequestOrigin, now: u64) {
         self.note_request(SERVICE, asked_by, now);
     }
 
-    fn take(&mut self, asked_by: AskedBy, hedged: bool, nodes: usize, now: u64) -> bool {
+    fn take(&mut self, asked_by: RequestOrigin, hedged: bool, nodes: usize, now: u64) -> bool {
         let allowed = match hedged {
             true => self.allows_hedge(SERVICE, asked_by, nodes, now),
             false => self.allows(SERVICE, asked_by, nodes, now),
         };
         match (allowed, hedged) {
             (true, true) => self.note_hedge(SERVICE, asked_by, now),
-            (true, false) => self.note_repeat(SERVICE, asked_by, now),
+            (true, false) => self.note_retry(SERVICE, asked_by, now),
             (false, _) => {}
         }
         allowed
@@ -60,11 +60,11 @@
         WindowSums { bounds, requests: VecDeque::new(), repeats: VecDeque::new() }
     }
 
-    fn note_request(&mut self, _: AskedBy, now: u64) {
+    fn note_request(&mut self, _: RequestOrigin, now: u64) {
         self.requests.push_back(now);
     }
 
-    fn take(&mut self, _: AskedBy, _: bool, nodes: usize, now: u64) -> bool {
+    fn take(&mut self, _: RequestOrigin, _: bool, nodes: usize, now: u64) -> bool {
         let window_ms = self.bounds.window_ms;
         for times in [&mut self.requests, &mut self.repeats] {
             while times.front().is_some_and(|at| at + window_ms <= now) {
@@ -170,7 +170,8 @@
     fn request(&mut self, failing: bool, now: u64) {
         let all = self.nodes.len();
         let node = &mut self.nodes[self.random.usize(..all)];
-        let asked_by = if self.random.bool() { AskedBy::Run } else { AskedBy::Caller };
+        let asked_by =
+            if self.random.bool() { RequestOrigin::RunningRequest } else { RequestOrigin::Caller };
         node.budget.note_request(asked_by, now);
         self.requests.push(now);
         let known = node.known(all, now);
--- a/crates/placement/tests/canary.rs
+++ b/crates/placement/tests/canary.rs
@@ -3,7 +3,7 @@
 use mesh::{
     CandidateShare, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track, VersionPolicy,
 };
-use placement::{CanaryShares, Locality, PlacementView, Request, TimeSpread, Urgency};
+use placement::{CanaryShares, LatencyHistogram, Locality, PlacementView, Request, Urgency};
 use std::net::Ipv4Addr;
 
 const SERVICE: &str = "fares";
@@ -53,7 +53,7 @@
 }
 
 fn hosts(view: &PlacementView, track: Track) -> Vec<u8> {
-    let spread = TimeSpread::default();
+    let spread = LatencyHistogram::default();
     let mut random = fastrand::Rng::with_seed(1);
     let mut tried = Vec::new();
     loop {
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -1,7 +1,7 @@
 //! How much a cold upstream is sent by all nodes together.
 
 use mesh::{InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track};
-use placement::{Locality, PlacementView, Request, TimeSpread, Urgency};
+use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
 use std::net::Ipv4Addr;
 
 const SERVICE: &str = "fares";
@@ -65,7 +65,7 @@
                 track: Track::Stable,
                 urgency: Urgency { rank: 1, target_ms: 400 },
                 usual_ms: 100.0,
-                spread: &TimeSpread::default(),
+                spread: &LatencyHistogram::default(),
                 moved_bytes: 1_500.0,
                 target_ms: 400.0,
                 body_bytes: 0,
--- a/crates/placement/tests/egress.rs
+++ b/crates/placement/tests/egress.rs
@@ -4,7 +4,7 @@
     HopOutcome, HopReply, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track,
     UpstreamLoad,
 };
-use placement::{Locality, PlacementView, Request, TimeSpread, Urgency};
+use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -78,7 +78,7 @@
         track: Track::Stable,
         urgency: Urgency { rank: 1, target_ms: 1_500 },
         usual_ms: 140.0,
-        spread: &TimeSpread::default(),
+        spread: &LatencyHistogram::default(),
         moved_bytes: answer_bytes,
         target_ms: 1_500.0,
         body_bytes: 0,
--- a/crates/placement/tests/hedge.rs
+++ b/crates/placement/tests/hedge.rs
@@ -1,15 +1,15 @@
 //! When a second try of a call pays, and how many are sent.
 
 use expect_test::expect;
-use placement::{AskedBy, BudgetBounds, HedgePlan, RetryBudget, TimeSpread};
+use placement::{BudgetBounds, HedgePlan, LatencyHistogram, RequestOrigin, RetryBudget};
 use std::fmt::Write;
 
 const SERVICE: &str = "fares";
 
 /// Work of which one in `every` takes seven times as long, and the others up to a third more or less.
-fn tailed(every: u32, times: u32) -> TimeSpread {
+fn tailed(every: u32, times: u32) -> LatencyHistogram {
     let mut random = fastrand::Rng::with_seed(5);
-    let mut spread = TimeSpread::default();
+    let mut spread = LatencyHistogram::default();
     for number in 0..times {
         let factor = if number % every == 7 % every { 7.0 } else { 1.0 };
         spread.note(factor * (0.6 + 0.6 * random.f64()));
@@ -79,7 +79,7 @@
     for now in (0..end).step_by(10) {
         budget.note_nodes(nodes, now);
         for _ in 0..(requests * (now + 10) / 10_000 - requests * now / 10_000) {
-            budget.note_request(SERVICE, AskedBy::Caller, now);
+            budget.note_request(SERVICE, RequestOrigin::Caller, now);
         }
     }
     end - 1
@@ -93,19 +93,19 @@
         let mut budget = RetryBudget::new(bounds);
         let now = save_up(&mut budget, nodes, requests);
         let mut hedges = 0;
-        while budget.allows_hedge(SERVICE, AskedBy::Caller, nodes, now) {
-            budget.note_hedge(SERVICE, AskedBy::Caller, now);
+        while budget.allows_hedge(SERVICE, RequestOrigin::Caller, nodes, now) {
+            budget.note_hedge(SERVICE, RequestOrigin::Caller, now);
             hedges += 1;
         }
         let mut repeats = 0;
-        while budget.allows(SERVICE, AskedBy::Caller, nodes, now) {
-            budget.note_repeat(SERVICE, AskedBy::Caller, now);
+        while budget.allows(SERVICE, RequestOrigin::Caller, nodes, now) {
+            budget.note_retry(SERVICE, RequestOrigin::Caller, now);
             repeats += 1;
         }
         writeln!(seen, "{nodes} nodes, {requests}: {hedges} hedges and {repeats} repeats")
             .expect("text");
         assert!(
-            !budget.allows_hedge(SERVICE, AskedBy::Caller, nodes, now),
+            !budget.allows_hedge(SERVICE, RequestOrigin::Caller, nodes, now),
             "beyond the bound of all"
         );
     }
@@ -123,9 +123,9 @@
     let bounds = BudgetBounds { ratio: 0.2, slack: 0.0, window_ms: 10_000 };
     let mut budget = RetryBudget::new(bounds);
     let now = save_up(&mut budget, 1, 100);
-    assert!(budget.allows_hedge(SERVICE, AskedBy::Caller, 1, now));
-    while budget.allows(SERVICE, AskedBy::Caller, 1, now) {
-        budget.note_repeat(SERVICE, AskedBy::Caller, now);
+    assert!(budget.allows_hedge(SERVICE, RequestOrigin::Caller, 1, now));
+    while budget.allows(SERVICE, RequestOrigin::Caller, 1, now) {
+        budget.note_retry(SERVICE, RequestOrigin::Caller, now);
     }
-    assert!(!budget.allows_hedge(SERVICE, AskedBy::Caller, 1, now));
+    assert!(!budget.allows_hedge(SERVICE, RequestOrigin::Caller, 1, now));
 }
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -3,7 +3,7 @@
 use mesh::{
     CandidateShare, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track, VersionPolicy,
 };
-use placement::{Locality, PlacementView, Regions, Request, TimeSpread, Urgency};
+use placement::{LatencyHistogram, Locality, PlacementView, Regions, Request, Urgency};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -47,7 +47,7 @@
     view
 }
 
-fn request(track: Track, spread: &TimeSpread) -> Request<'_> {
+fn request(track: Track, spread: &LatencyHistogram) -> Request<'_> {
     Request {
         service: SERVICE,
         track,
@@ -63,7 +63,7 @@
 
 /// How often each upstream is chosen, each choice by an idle view.
 fn chosen(view: &PlacementView) -> BTreeMap<NodeAddress, u64> {
-    let spread = TimeSpread::default();
+    let spread = LatencyHistogram::default();
     let mut counts = BTreeMap::new();
     for call in 0..CALLS {
         let mut random = fastrand::Rng::with_seed(call);
@@ -131,7 +131,7 @@
         candidate: Some(candidate),
         barred: Vec::new(),
     }]);
-    let spread = TimeSpread::default();
+    let spread = LatencyHistogram::default();
     for call in 0..200 {
         let mut random = fastrand::Rng::with_seed(call);
         let found = view.choose(&request(Track::Candidate, &spread), 0, &mut random);
--- a/crates/placement/tests/pressure.rs
+++ b/crates/placement/tests/pressure.rs
@@ -1,7 +1,7 @@
 //! Calls for a service that does not answer all in time, on one node.
 
 use expect_test::expect;
-use placement::{CallEnd, Pressure, Urgency};
+use placement::{CallEnd, LoadShedder, Urgency};
 use std::fmt::Write;
 
 const SERVICE: &str = "fares";
@@ -19,16 +19,16 @@
 impl Second {
     fn take(
         &mut self,
-        pressure: &mut Pressure,
+        pressure: &mut LoadShedder,
         urgency: Urgency,
         has_room: bool,
         draw: f64,
         now: u64,
     ) -> bool {
-        let held_back = draw < pressure.held_back(SERVICE, urgency, now);
+        let held_back = draw < pressure.shed_probability(SERVICE, urgency, now);
         let in_time = has_room && !held_back;
         let end = match (held_back, in_time) {
-            (true, _) => CallEnd::HeldBack,
+            (true, _) => CallEnd::Shed,
             (false, true) => CallEnd::InTime,
             (false, false) => CallEnd::Missed,
         };
@@ -43,7 +43,7 @@
 /// Seconds of 60 calls each; a service has room for so many of them a second, evenly over it.
 fn story(room_each_second: &[u64]) -> String {
     const CALLS: u64 = 60;
-    let mut pressure = Pressure::default();
+    let mut pressure = LoadShedder::default();
     let mut random = fastrand::Rng::with_seed(7);
     let mut text = String::new();
     for (second, room) in room_each_second.iter().enumerate() {
@@ -54,7 +54,7 @@
             seen.take(&mut pressure, OUTER, has_room, random.f64(), now);
         }
         let Second { in_time, missed, held_back } = seen;
-        let offers = pressure.most_offers(SERVICE, (second as u64 + 1) * 1_000);
+        let offers = pressure.max_attempts(SERVICE, (second as u64 + 1) * 1_000);
         writeln!(text, "room {room}: in time {in_time}, missed {missed}, held back {held_back}, offers {offers}")
             .expect("text");
     }
@@ -94,7 +94,7 @@
 
 #[test]
 fn the_least_urgent_calls_are_held_back_first() {
-    let mut pressure = Pressure::default();
+    let mut pressure = LoadShedder::default();
     let mut random = fastrand::Rng::with_seed(7);
     let (mut outer, mut inner) = (Second::default(), Second::default());
     let mut text = String::new();
@@ -128,12 +128,12 @@
 
 #[test]
 fn services_are_held_back_each_for_itself() {
-    let mut pressure = Pressure::default();
+    let mut pressure = LoadShedder::default();
     for now in 0..100 {
         pressure.note("full", OUTER, CallEnd::Missed, now);
         pressure.note("free", OUTER, CallEnd::InTime, now);
     }
-    assert!(pressure.held_back("full", OUTER, 100) > 0.5);
-    assert_eq!(pressure.held_back("free", OUTER, 100), 0.0);
-    assert_eq!(pressure.held_back("unknown", OUTER, 100), 0.0);
+    assert!(pressure.shed_probability("full", OUTER, 100) > 0.5);
+    assert_eq!(pressure.shed_probability("free", OUTER, 100), 0.0);
+    assert_eq!(pressure.shed_probability("unknown", OUTER, 100), 0.0);
 }
--- a/crates/placement/tests/shares.rs
+++ b/crates/placement/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Shares of a split, and the retry budget of a fleet.
 
 use bundle::Target;
-use placement::{AskedBy, BudgetBounds, RetryBudget, WeightedSplit};
+use placement::{BudgetBounds, RequestOrigin, RetryBudget, WeightedSplit};
 use std::collections::BTreeMap;
 
 fn targets(weights: &[u32]) -> Vec<Target> {
@@ -66,7 +66,8 @@
             continue;
         }
         let budget = &mut budgets[random.usize(0..nodes)];
-        let asked_by = if random.bool() { AskedBy::Run } else { AskedBy::Caller };
+        let asked_by =
+            if random.bool() { RequestOrigin::RunningRequest } else { RequestOrigin::Caller };
         budget.note_request("s", asked_by, now);
         events.push((now, false));
         if now < fails_from {
@@ -74,7 +75,7 @@
             continue;
         }
         while budget.allows("s", asked_by, believed_nodes, now) {
-            budget.note_repeat("s", asked_by, now);
+            budget.note_retry("s", asked_by, now);
             events.push((now, true));
         }
     }
@@ -115,7 +116,9 @@
         let mut budget = RetryBudget::new(bounds);
         let end = 2 * bounds.window_ms - 1;
         for now in 0..end {
-            for (requests, asked_by) in [(by_callers, AskedBy::Caller), (by_runs, AskedBy::Run)] {
+            for (requests, asked_by) in
+                [(by_callers, RequestOrigin::Caller), (by_runs, RequestOrigin::RunningRequest)]
+            {
                 let so_far = |now: u64| requests * now / bounds.window_ms;
                 (so_far(now)..so_far(now + 1))
                     .for_each(|_| budget.note_request("s", asked_by, now));
@@ -124,12 +127,12 @@
         let mut taken = |asked_by| {
             let mut repeats = 0;
             while budget.allows("s", asked_by, 1, end) {
-                budget.note_repeat("s", asked_by, end);
+                budget.note_retry("s", asked_by, end);
                 repeats += 1;
             }
             repeats
         };
-        let found = (taken(AskedBy::Caller), taken(AskedBy::Run));
+        let found = (taken(RequestOrigin::Caller), taken(RequestOrigin::RunningRequest));
         assert_eq!(found, (to_callers, to_runs), "of {by_callers} and {by_runs} requests");
     }
 }
--- a/crates/placement/tests/spread.rs
+++ b/crates/placement/tests/spread.rs
@@ -1,12 +1,12 @@
 //! The risk of being late, learned from times seen.
 
 use expect_test::expect;
-use placement::{ClassTimes, Seen, TimeSpread};
+use placement::{LatencyHistogram, LatencySample, RouteLatencies};
 use std::fmt::Write;
 
 const RATIOS: [f64; 7] = [0.25, 0.5, 1.0, 1.5, 2.0, 4.0, 8.0];
 
-fn risks(spread: &TimeSpread) -> String {
+fn risks(spread: &LatencyHistogram) -> String {
     RATIOS.iter().fold(String::new(), |mut text, ratio| {
         let _ = write!(text, "{ratio}: {:.3} ", spread.beyond(*ratio));
         text
@@ -15,8 +15,8 @@
 
 /// Times spread as those of work with a long tail: most are short, one in twenty takes four times
 /// as long as usual.
-fn tailed() -> TimeSpread {
-    let mut spread = TimeSpread::default();
+fn tailed() -> LatencyHistogram {
+    let mut spread = LatencyHistogram::default();
     for number in 0..2_000 {
         spread.note(if number % 20 == 0 { 4.2 } else { 0.8 });
     }
@@ -26,7 +26,7 @@
 #[test]
 fn before_anything_was_seen_the_risk_falls_steeply() {
     expect!["0.25: 1.000 0.5: 1.000 1: 1.000 1.5: 0.088 2: 0.016 4: 0.000 8: 0.000 "]
-        .assert_eq(&risks(&TimeSpread::default()));
+        .assert_eq(&risks(&LatencyHistogram::default()));
 }
 
 #[test]
@@ -49,7 +49,7 @@
 fn the_risk_never_rises_with_the_time_left() {
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..50 {
-        let mut spread = TimeSpread::default();
+        let mut spread = LatencyHistogram::default();
         for _ in 0..random.usize(0..300) {
             spread.note(random.f64() * 20.0);
         }
@@ -64,7 +64,7 @@
 
 #[test]
 fn odd_times_are_borne() {
-    let mut spread = TimeSpread::default();
+    let mut spread = LatencyHistogram::default();
     for ratio in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, f64::MIN_POSITIVE] {
         spread.note(ratio);
     }
@@ -76,15 +76,18 @@
 
 #[test]
 fn a_route_is_known_by_its_own_calls() {
-    let mut times = ClassTimes::default();
+    let mut times = RouteLatencies::default();
     assert_eq!(times.usual_ms("quotes"), None);
     // A clock that stands still between two looks, and an upstream of no pace, spoil nothing.
     for (spent_ms, pace) in [(0.0, 1.0), (100.0, 1.0), (200.0, 2.0), (50.0, 0.0)] {
-        times.note("quotes", Seen { spent_ms, pace, told_pace: pace, moved_bytes: 1_500.0 });
+        times.note(
+            "quotes",
+            LatencySample { spent_ms, pace, reported_pace: pace, moved_bytes: 1_500.0 },
+        );
     }
     times.note(
         "uploads",
-        Seen { spent_ms: 300.0, pace: 1.5, told_pace: 1.5, moved_bytes: 60_000.0 },
+        LatencySample { spent_ms: 300.0, pace: 1.5, reported_pace: 1.5, moved_bytes: 60_000.0 },
     );
     let known = |route| (times.usual_ms(route), times.moved_bytes(route));
     expect!["(Some(59.2625), Some(1500.0)) (Some(200.0), Some(60000.0))"].assert_eq(&format!(
--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -5,7 +5,7 @@
     HopOutcome, HopReply, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track,
     UpstreamLoad,
 };
-use placement::{Locality, PlacementView, Request, TimeSpread, Urgency};
+use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 
@@ -84,7 +84,7 @@
         track: Track::Stable,
         urgency,
         usual_ms: 100.0,
-        spread: &TimeSpread::default(),
+        spread: &LatencyHistogram::default(),
         moved_bytes: 1_500.0,
         target_ms: 400.0,
         body_bytes: 0,
@@ -234,7 +234,7 @@
 }
 
 /// The upstream that calls of a kind go to, of one in the zone at the given speed and one elsewhere.
-fn chosen_at_speed(speed: f64, spread: &TimeSpread, moved_bytes: f64) -> u8 {
+fn chosen_at_speed(speed: f64, spread: &LatencyHistogram, moved_bytes: f64) -> u8 {
     let mut view = view(&[(1, "a"), (2, "b")]);
     for (host, speed) in [(1, speed), (2, 1.0)] {
         let load = UpstreamLoad::new(0, 0, 100).with_pace((speed * 100.0) as u32);
@@ -257,11 +257,11 @@
 
 #[test]
 fn another_zone_is_worth_its_bytes_only_where_the_risk_is_greater() {
-    let mut tailed = TimeSpread::default();
+    let mut tailed = LatencyHistogram::default();
     for number in 0..2_000 {
         tailed.note(if number % 5 == 0 { 2.8 } else { 0.8 });
     }
-    let mut even = TimeSpread::default();
+    let mut even = LatencyHistogram::default();
     for _ in 0..2_000 {
         even.note(1.0);
     }
@@ -379,7 +379,7 @@
     let mut view = paced(160, 60);
     let first = view.get_mut(&address(1)).expect("there");
     for _ in 0..100 {
-        first.note_time(50.0, 100.0, 0);
+        first.note_latency(50.0, 100.0, 0);
     }
     assert_eq!(first.pace(0), 1.6);
     assert_eq!(choose(&view, &[], 0), Some(2));
@@ -414,7 +414,7 @@
     assert_eq!(upstream.pace(10), 0.5, "nothing is known of it, so it is tried");
     upstream.outstanding = 1;
     assert_eq!(upstream.pace(10), 1.0, "by one call");
-    upstream.note_time(300.0, 100.0, 10);
+    upstream.note_latency(300.0, 100.0, 10);
     upstream.outstanding = 0;
     assert!(upstream.pace(10) > 1.0);
 }
@@ -432,7 +432,7 @@
         let spent_ms = if host == 2 && now < 1_000 { 3_000.0 } else { 100.0 };
         let upstream = view.get_mut(&address(host)).expect("there");
         upstream.note_reply(reply(0, 0), now);
-        upstream.note_time(spent_ms, 100.0, now);
+        upstream.note_latency(spent_ms, 100.0, now);
         given.push((now, host));
     }
     let second = given.iter().filter(|(now, host)| *host == 2 && *now >= 1_000).count();
@@ -468,7 +468,7 @@
     for (name, change, expected) in rows {
         let mut view = paced(100, 100);
         change(&mut view);
-        let spread = TimeSpread::default();
+        let spread = LatencyHistogram::default();
         let tried = [address(1)];
         let request = Request {
             service: SERVICE,
@@ -487,7 +487,7 @@
     }
     // Nothing was heard of its load.
     let silent = view(&[(2, "a")]);
-    let spread = TimeSpread::default();
+    let spread = LatencyHistogram::default();
     let request = Request {
         service: SERVICE,
         track: Track::Stable,
--- a/crates/sidecar/src/calls/call.rs
+++ b/crates/sidecar/src/calls/call.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use http1::{Request, Response};
 use mesh::{HopOutcome, NodeAddress, Track};
-use placement::{AskedBy, Urgency};
+use placement::{RequestOrigin, Urgency};
 use std::fmt;
 use std::rc::Rc;
 
@@ -56,10 +56,10 @@
 
 impl Call {
     /// Who asks for it.
-    pub fn asked_by(&self) -> AskedBy {
+    pub fn asked_by(&self) -> RequestOrigin {
         match self.begun {
-            true => AskedBy::Run,
-            false => AskedBy::Caller,
+            true => RequestOrigin::RunningRequest,
+            false => RequestOrigin::Caller,
         }
     }
 
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -9,7 +9,7 @@
 use crate::Millis;
 use http1::Response;
 use mesh::{HopOutcome, HopReply, InstanceState, NodeAddress};
-use placement::{CallEnd, Seen};
+use placement::{CallEnd, LatencySample};
 use tracing::{info, warn};
 
 const FIRST_SERVER_ERROR: u16 = 500;
@@ -179,13 +179,14 @@
                     let elapsed = now.saturating_sub(arrived);
                     self.metrics.note_added(elapsed.saturating_sub(u64::from(reply.spent_ms)));
                     upstream.note_success();
-                    upstream.note_time(f64::from(reply.spent_ms), usual_ms, now);
+                    upstream.note_latency(f64::from(reply.spent_ms), usual_ms, now);
                     let (spent_ms, pace) = (f64::from(reply.spent_ms), upstream.pace(now));
-                    let told_pace = match reply.told_pace_percent {
+                    let reported_pace = match reply.told_pace_percent {
                         0 => 1.0,
                         percent => f64::from(percent) / 100.0,
                     };
-                    self.times.note(&route, Seen { spent_ms, pace, told_pace, moved_bytes });
+                    self.times
+                        .note(&route, LatencySample { spent_ms, pace, reported_pace, moved_bytes });
                 }
                 HopOutcome::Answered => upstream.note_success(),
                 HopOutcome::Refused if reply.link_full => {
@@ -337,7 +338,7 @@
         }
         if let Some(call) = self.calls.get(&id).filter(|call| call.arrivals == 0) {
             // The rejected arrival counts at the service, though the call did not run there.
-            self.budget.note_repeat(&call.service, call.asked_by(), now);
+            self.budget.note_retry(&call.service, call.asked_by(), now);
         }
         self.place(id, now)
     }
--- a/crates/sidecar/src/calls/hedge.rs
+++ b/crates/sidecar/src/calls/hedge.rs
@@ -79,7 +79,8 @@
         call.hedge_at = None;
         let first = call.current?;
         let (service, asked_by) = (call.service.clone(), call.asked_by());
-        let roomy = self.view.free_part(&service, now).is_some_and(|free| free >= HEDGE_ROOM_PART);
+        let roomy =
+            self.view.free_slot_fraction(&service, now).is_some_and(|free| free >= HEDGE_ROOM_PART);
         if !roomy || !self.budget.allows_hedge(&service, asked_by, self.view.nodes(), now) {
             return None;
         }
@@ -144,8 +145,8 @@
         self.counts.hedges_won += u64::from(won);
         let (usual_ms, route) = (self.usual_ms(call), call.route.clone());
         if let Some(upstream) = self.view.get_mut(&to).filter(|_| won) {
-            upstream.note_time(spent_ms as f64, usual_ms, now);
-            self.times.note_cut(&route, spent_ms as f64, upstream.pace(now));
+            upstream.note_latency(spent_ms as f64, usual_ms, now);
+            self.times.note_cancelled(&route, spent_ms as f64, upstream.pace(now));
         }
     }
 }
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -23,8 +23,8 @@
 use http1::{Request, Response, Slot};
 use mesh::{HopReply, HopRequest, NodeAddress};
 use placement::{
-    AskedBy, BudgetBounds, CallEnd, CanaryShares, ClassTimes, Locality, PlacementView, Pressure,
-    RetryBudget, Throttle, Urgency, WeightedSplit,
+    BudgetBounds, CallEnd, CanaryShares, LoadShedder, Locality, PlacementView, RequestOrigin,
+    RetryBudget, RouteLatencies, Throttle, Urgency, WeightedSplit,
 };
 use quarantine::Standing;
 use std::collections::{BTreeMap, BTreeSet};
@@ -80,10 +80,10 @@
 }
 
 impl Lineage {
-    fn asked_by(self) -> AskedBy {
+    fn asked_by(self) -> RequestOrigin {
         match self {
-            Self::Caller => AskedBy::Caller,
-            Self::BegunWork | Self::RepeatedWork => AskedBy::Run,
+            Self::Caller => RequestOrigin::Caller,
+            Self::BegunWork | Self::RepeatedWork => RequestOrigin::RunningRequest,
         }
     }
 }
@@ -181,9 +181,9 @@
     splits: BTreeMap<String, WeightedSplit>,
     canaries: CanaryShares,
     budget: RetryBudget,
-    times: ClassTimes,
+    times: RouteLatencies,
     throttle: Throttle,
-    pressure: Pressure,
+    pressure: LoadShedder,
     poison: PoisonWatch,
     /// Which calls wait for a credit of their tenants.
     pub quota: Quota,
@@ -230,9 +230,9 @@
             splits: BTreeMap::new(),
             canaries: CanaryShares::default(),
             budget: RetryBudget::new(bounds),
-            times: ClassTimes::default(),
+            times: RouteLatencies::default(),
             throttle: Throttle::default(),
-            pressure: Pressure::default(),
+            pressure: LoadShedder::default(),
             // Both are drawn at the start; nothing is secret about either.
             clock: seed as u32,
             random: fastrand::Rng::with_seed(seed),
@@ -456,12 +456,12 @@
             let retry_after_ms = THROTTLED_RETRY_AFTER_MS;
             return Some(HeldBack { reason: "like_calls_fail", part, retry_after_ms });
         }
-        let part = self.pressure.held_back(service, urgency, now);
+        let part = self.pressure.shed_probability(service, urgency, now);
         if part > 0.0 && self.has_room(service, now) {
             return None;
         }
         if self.random.f64() < part {
-            self.pressure.note(service, urgency, CallEnd::HeldBack, now);
+            self.pressure.note(service, urgency, CallEnd::Shed, now);
             let retry_after_ms = self.random.u64(PRESSED_RETRY_AFTER_MS);
             return Some(HeldBack { reason: "like_calls_are_late", part, retry_after_ms });
         }
@@ -471,7 +471,7 @@
     /// Whether upstreams of a service are known to have room. What few calls of this node became
     /// tells less than what all of its upstreams tell of themselves.
     fn has_room(&self, service: &str, now: Millis) -> bool {
-        self.view.free_part(service, now).is_some_and(|free| free >= ROOM_PART)
+        self.view.free_slot_fraction(service, now).is_some_and(|free| free >= ROOM_PART)
     }
 
     /// Takes down how a call ended.
--- a/crates/sidecar/src/calls/placing.rs
+++ b/crates/sidecar/src/calls/placing.rs
@@ -102,7 +102,7 @@
         let wanted = self.wanted(call, now);
         let most_offers = match call.begun {
             true => BEGUN_OFFERS,
-            false => self.pressure.most_offers(&call.service, now),
+            false => self.pressure.max_attempts(&call.service, now),
         };
         let chosen = match call.tries < most_offers {
             true => self.view.choose(&wanted, now, &mut random),
@@ -123,7 +123,7 @@
         let request = call.request.clone();
         let offered = self.view.is_offered(&to, request.body.len());
         if call.arrivals > 0 {
-            self.budget.note_repeat(&call.service, call.asked_by(), now);
+            self.budget.note_retry(&call.service, call.asked_by(), now);
             self.counts.repeats += 1;
             if let Some(holder) = &call.holder {
                 self.quota.charge(&holder.tenant, now);
--- a/crates/sidecar/src/calls/repeats.rs
+++ b/crates/sidecar/src/calls/repeats.rs
@@ -20,7 +20,7 @@
         if !self.budget.allows(service, lineage.asked_by(), self.view.nodes(), now) {
             self.hedges_barred_until = now + HEDGES_BARRED_MS;
         }
-        self.budget.note_repeat(service, lineage.asked_by(), now);
+        self.budget.note_retry(service, lineage.asked_by(), now);
     }
 
     /// Until when the upstream beside this node should be given no second tries, since what their runs
@@ -51,12 +51,12 @@
         }
         self.repeats_told_at = now;
         self.budget.note_nodes(self.view.nodes(), now);
-        for (service, tally) in self.budget.take_tallies() {
-            if tally.repeats + tally.refused == 0 {
+        for (service, tally) in self.budget.take_counts() {
+            if tally.retries + tally.refused == 0 {
                 continue;
             }
             info!(
-                %service, requests = tally.requests, repeats = tally.repeats, hedges = tally.hedges,
+                %service, requests = tally.requests, repeats = tally.retries, hedges = tally.hedges,
                 refused = tally.refused, nodes = self.view.nodes(), "retry_budget"
             );
         }
