--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -94,7 +94,7 @@
 
 impl Urgency {
     /// That of calls that a run with a slot waits for: ahead of all new work.
-    pub const BEGUN: Self = Self { rank: 0, target_ms: 0 };
+    pub const IN_PROGRESS: Self = Self { rank: 0, target_ms: 0 };
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -235,7 +235,7 @@
     }
 
     /// When the first of the upstreams of a service that lately refused is expected to have room.
-    pub fn room_at(&self, service: &str, now: Millis) -> Option<Millis> {
+    pub fn earliest_retry_at(&self, service: &str, now: Millis) -> Option<Millis> {
         let live = self.of_service(service).filter(|(_, held)| held.is_stable());
         live.filter_map(|(_, held)| held.room_at(now)).min()
     }
--- a/crates/placement/tests/egress.rs
+++ b/crates/placement/tests/egress.rs
@@ -145,7 +145,7 @@
     let mut view = view(&[(1, "a")]);
     view.get_mut(&address(1)).expect("there").note_link_full(400, 10);
     assert_eq!(chosen(&view, LARGE_BYTES, 11, 1), None);
-    assert_eq!(view.room_at(SERVICE, 11), Some(410));
+    assert_eq!(view.earliest_retry_at(SERVICE, 11), Some(410));
     assert_eq!(chosen(&view, SMALL_BYTES, 11, 1), Some(1), "a small one needs no room there");
     assert_eq!(chosen(&view, LARGE_BYTES, 161, 1), Some(1), "a refusal is believed for so long");
 }
--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -156,9 +156,9 @@
     assert_eq!(choose(&view, &[], 50), Some(2));
     view.get_mut(&address(2)).expect("there").note_full(URGENCY, 60, 0);
     assert_eq!(choose(&view, &[], 50), None, "both are full");
-    assert_eq!(view.room_at(SERVICE, 50), Some(60));
-    assert_eq!(view.room_at(SERVICE, 70), Some(100), "what is over tells nothing");
-    assert_eq!(view.room_at(SERVICE, 100), None);
+    assert_eq!(view.earliest_retry_at(SERVICE, 50), Some(60));
+    assert_eq!(view.earliest_retry_at(SERVICE, 70), Some(100), "what is over tells nothing");
+    assert_eq!(view.earliest_retry_at(SERVICE, 100), None);
     // A more urgent call may pass those that wait; a less urgent one has no better chance.
     let more = Urgency { rank: 1, target_ms: 100 };
     let less = Urgency { rank: 2, target_ms: 100 };
--- a/crates/sidecar/src/calls/call.rs
+++ b/crates/sidecar/src/calls/call.rs
@@ -83,7 +83,7 @@
     /// Its place among those that wait for an upstream.
     pub fn urgency(&self) -> Urgency {
         match self.begun {
-            true => Urgency::BEGUN,
+            true => Urgency::IN_PROGRESS,
             false => Urgency { rank: self.rank, target_ms: self.target_ms },
         }
     }
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -33,7 +33,7 @@
         }
         // What it was told itself: what others were told a while ago is nearly over, and a crowd that
         // comes back by that is refused again.
-        let room_at = call.room_at.or_else(|| self.view.room_at(&call.service, now));
+        let room_at = call.room_at.or_else(|| self.view.earliest_retry_at(&call.service, now));
         let wait = room_at.map_or(SHORTEST_RETRY_AFTER_MS * 4, |at| at.saturating_sub(now));
         self.give_up(id, wait, now)
     }
