--- a/crates/admission/src/egress.rs
+++ b/crates/admission/src/egress.rs
@@ -27,7 +27,7 @@
 
 /// What tells kinds of calls apart, and their order; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct EgressKind {
+pub struct EgressClass {
     /// Rank of the route.
     pub rank: u32,
     /// Target latency of the route, milliseconds.
@@ -43,7 +43,7 @@
 
 /// Room of the outgoing link now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LinkRoom {
+pub struct LinkState {
     /// What it carries of large answers, bytes a millisecond; `None` if that is not known.
     pub bytes_per_ms: Option<f64>,
     /// Bytes that wait for it.
@@ -52,7 +52,7 @@
 
 /// How long the caller of a call waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EgressTime {
+pub struct EgressTimeLimits {
     /// Longest useful wait before the answer leaves, milliseconds.
     pub patience_ms: u64,
     /// Until nobody waits for the answer, milliseconds.
@@ -61,18 +61,18 @@
 
 /// Answers of runs under way, against the link.
 #[derive(Clone, Debug, Default)]
-pub struct EgressBook {
-    room: LinkRoom,
-    usual: BTreeMap<EgressKind, Usual>,
-    booked: BTreeMap<JobId, (EgressKind, f64)>,
+pub struct EgressReservations {
+    room: LinkState,
+    usual: BTreeMap<EgressClass, Usual>,
+    booked: BTreeMap<JobId, (EgressClass, f64)>,
     /// Bytes refused of late that will be asked for again.
     refused_bytes: f64,
     refused_at: Millis,
 }
 
-impl EgressBook {
+impl EgressReservations {
     /// Takes in the room of the link.
-    pub fn set_room(&mut self, room: LinkRoom) {
+    pub fn set_link_state(&mut self, room: LinkState) {
         self.room = room;
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Whether the answers of a kind are large enough to be booked.
-    fn large(&self, kind: EgressKind) -> Option<(Usual, f64)> {
+    fn large(&self, kind: EgressClass) -> Option<(Usual, f64)> {
         let rate = self.room.bytes_per_ms.filter(|rate| *rate > 0.0)?;
         let usual = self.usual.get(&kind)?;
         (usual.answer_bytes > most_small_bytes(rate) as f64).then_some((*usual, rate))
@@ -92,8 +92,8 @@
     /// milliseconds.
     pub fn check_room(
         &mut self,
-        kind: EgressKind,
-        time: EgressTime,
+        kind: EgressClass,
+        time: EgressTimeLimits,
         now: Millis,
     ) -> Result<(), u64> {
         let Some((usual, rate)) = self.large(kind) else {
@@ -121,7 +121,7 @@
     }
 
     /// Bytes that would leave before an answer of this kind.
-    fn bytes_ahead(&self, kind: EgressKind) -> f64 {
+    fn bytes_ahead(&self, kind: EgressClass) -> f64 {
         let ahead = self.booked.values().filter(|(other, _)| *other <= kind);
         let booked: f64 = ahead.map(|(_, bytes)| bytes).sum();
         booked + self.room.waiting_bytes as f64
@@ -138,25 +138,25 @@
     }
 
     /// Books the answer of a call that was taken in.
-    pub fn book(&mut self, job: JobId, kind: EgressKind) {
+    pub fn reserve(&mut self, job: JobId, kind: EgressClass) {
         if let Some((usual, _)) = self.large(kind) {
             self.booked.insert(job, (kind, usual.answer_bytes));
         }
     }
 
     /// Gives back what a call booked: it has ended.
-    pub fn end(&mut self, job: JobId) {
+    pub fn release(&mut self, job: JobId) {
         self.booked.remove(&job);
     }
 
     /// Takes in an answer that leaves over the link.
-    pub fn note_leaving(&mut self, bytes: usize) {
+    pub fn note_sent(&mut self, bytes: usize) {
         // Until the next word of the link.
         self.room.waiting_bytes = self.room.waiting_bytes.saturating_add(bytes);
     }
 
     /// Takes in how long a call ran, milliseconds, and what it answered with.
-    pub fn note_answer(&mut self, kind: EgressKind, bytes: usize, spent_ms: u64) {
+    pub fn note_answer(&mut self, kind: EgressClass, bytes: usize, spent_ms: u64) {
         let (bytes, spent_ms) = (bytes as f64, spent_ms as f64);
         if let Some(usual) = self.usual.get_mut(&kind) {
             usual.answer_bytes += (bytes - usual.answer_bytes) * WEIGHT;
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -77,7 +77,7 @@
 
     /// Takes in what the upstream tells of itself; true if that is news to others. `sequence`
     /// orders its messages.
-    pub fn told(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) -> bool {
+    pub fn on_report(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) -> bool {
         let incarnation = record.incarnation();
         if self.is_retired(&incarnation) {
             return false;
@@ -108,7 +108,7 @@
     }
 
     /// Takes in that an incarnation ends; true if that is news to others.
-    pub fn left(&mut self, incarnation: &Incarnation, now: Millis) -> bool {
+    pub fn on_leave(&mut self, incarnation: &Incarnation, now: Millis) -> bool {
         self.advance(incarnation, InstanceState::Left, now)
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Takes in that the upstream answered a call that was meant for this incarnation.
-    pub fn confirmed(&mut self, id: &str) {
+    pub fn on_confirmed(&mut self, id: &str) {
         if self.former.is_some() && self.id() == Some(id) {
             self.former = None;
         }
@@ -144,7 +144,7 @@
 
     /// Takes in that the upstream is not this incarnation, as it says itself; true if that is news.
     /// The one replaced last is the current one again. Without any, the next that is heard of is.
-    pub fn denied(&mut self, id: &str) -> bool {
+    pub fn on_wrong_instance(&mut self, id: &str) -> bool {
         let Some(denied) = self.current.take_if(|current| current.incarnation.id == id) else {
             return false;
         };
@@ -158,7 +158,7 @@
 
     /// Takes in that a serving incarnation ended without a word; true if that is news. Should it
     /// live after all, its next heartbeat brings it back.
-    pub fn ended(&mut self, id: &str) -> bool {
+    pub fn on_crash(&mut self, id: &str) -> bool {
         let serves =
             |current: &mut Current| current.incarnation.id == id && current.open_until.is_none();
         let Some(ended) = self.current.take_if(serves) else {
--- a/crates/admission/src/health.rs
+++ b/crates/admission/src/health.rs
@@ -16,12 +16,12 @@
 
 /// Share of an upstream's recent ends that failed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FailureShare {
+pub struct FailureRate {
     share: f64,
     at: Millis,
 }
 
-impl FailureShare {
+impl FailureRate {
     /// Takes in how one call ended.
     pub fn note(&mut self, failed: bool, now: Millis) {
         let held = self.share_at(now);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -16,14 +16,14 @@
 mod transfers;
 
 pub use cold_start::{ColdRate, ColdStart};
-pub use egress::{EgressBook, EgressKind, EgressTime, LinkRoom};
+pub use egress::{EgressClass, EgressReservations, EgressTimeLimits, LinkState};
 pub use gate::{DrainGate, GateState};
-pub use health::FailureShare;
+pub use health::FailureRate;
 pub use pace::Pace;
 pub use pacer::{Pacer, PacerCounts, Piece, SendUrgency};
-pub use queue::{Admission, Decision, JobId, Ticket};
+pub use queue::{Admission, Decision, JobId, SlotRequest};
 pub use shares::TenantKey;
-pub use taken::TakenSlots;
+pub use taken::UntrackedSlots;
 pub use transfers::{Grant, Transfer, TransferId, Transfers};
 
 /// Milliseconds of a monotonic clock.
--- a/crates/admission/src/pace.rs
+++ b/crates/admission/src/pace.rs
@@ -54,7 +54,7 @@
 
 impl Pace {
     /// Takes in what the upstream told of itself, percent; one that cannot be true is passed over.
-    pub fn note_figure(&mut self, percent: u32, now: Millis) {
+    pub fn note_reported(&mut self, percent: u32, now: Millis) {
         if !CREDIBLE_PERCENT.contains(&percent) {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// What the upstream tells, percent; 0 if it tells nothing.
-    pub fn told_percent(&self, now: Millis) -> u32 {
+    pub fn reported_percent(&self, now: Millis) -> u32 {
         self.figure(now).map_or(0, percent)
     }
 
--- a/crates/admission/src/pacer.rs
+++ b/crates/admission/src/pacer.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SendUrgency {
     /// Whether nobody holds a slot until it is there.
-    pub unhurried: bool,
+    pub deferrable: bool,
     /// Rank of its route; 0 goes first.
     pub rank: u32,
     /// Target latency of its route, milliseconds; of one rank, the shorter goes first.
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PacerCounts {
     /// Bytes that did not wait.
-    pub bytes_at_once: u64,
+    pub bytes_unpaced: u64,
     /// Bytes that waited for credit.
     pub bytes_paced: u64,
     /// Messages that waited, and how long together until they were handed over, milliseconds.
@@ -170,7 +170,7 @@
 
     /// What is left of the link for messages that wait, bytes a millisecond; `None` if it is not
     /// known.
-    pub fn left_bytes_per_ms(&self, now_ms: f64) -> Option<f64> {
+    pub fn available_bytes_per_ms(&self, now_ms: f64) -> Option<f64> {
         let least = 1.0 - MOST_PART_AT_ONCE;
         let whole = PACKET_BYTES as f64 / carried_bytes(PACKET_BYTES) as f64;
         let left = |rate: f64| (rate - self.at_once.bytes_per_ms(now_ms)).max(rate * least) * whole;
@@ -188,16 +188,16 @@
     }
 
     /// Whether a message of this length and urgency goes to its socket without waiting.
-    pub fn goes_at_once(&self, bytes: usize, urgency: SendUrgency) -> bool {
+    pub fn bypasses_pacing(&self, bytes: usize, urgency: SendUrgency) -> bool {
         let Some(rate) = self.bytes_per_ms() else {
             return true;
         };
-        !urgency.unhurried || bytes <= most_small_bytes(rate)
+        !urgency.deferrable || bytes <= most_small_bytes(rate)
     }
 
     /// Notes bytes that went to a socket without waiting.
-    pub fn note_at_once(&mut self, bytes: usize, now_ms: f64) {
-        self.counts.bytes_at_once += bytes as u64;
+    pub fn note_unpaced(&mut self, bytes: usize, now_ms: f64) {
+        self.counts.bytes_unpaced += bytes as u64;
         let Some(rate) = self.bytes_per_ms() else {
             return;
         };
@@ -233,7 +233,7 @@
     }
 
     /// Whether bytes of a connection wait.
-    pub fn holds(&self, key: K) -> bool {
+    pub fn is_waiting(&self, key: K) -> bool {
         self.waiting.contains_key(&key)
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Notes that a socket took so many bytes of a piece.
-    pub fn handed_over(&mut self, key: K, bytes: usize, now_ms: f64) {
+    pub fn note_written(&mut self, key: K, bytes: usize, now_ms: f64) {
         self.credit -= carried_bytes(bytes) as f64;
         self.counts.bytes_paced += bytes as u64;
         let Some(held) = self.waiting.get_mut(&key) else {
@@ -293,7 +293,7 @@
     }
 
     /// Notes that a socket takes no more for now.
-    pub fn hold_up(&mut self, key: K, now_ms: f64) {
+    pub fn note_blocked(&mut self, key: K, now_ms: f64) {
         if let Some(held) = self.waiting.get_mut(&key) {
             held.held_up_ms.get_or_insert(now_ms);
         }
@@ -305,7 +305,7 @@
     }
 
     /// Notes that a socket takes bytes again.
-    pub fn let_go(&mut self, key: K) {
+    pub fn note_writable(&mut self, key: K) {
         if let Some(held) = self.waiting.get_mut(&key) {
             held.held_up_ms = None;
         }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -19,7 +19,7 @@
 
 /// What is known of a call that wants a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct SlotRequest {
     /// Its id.
     pub job: JobId,
     /// Whether a run that holds a slot elsewhere waits for it. It goes before all new work, whatever
@@ -124,7 +124,7 @@
     }
 
     /// Whether a slot is free, and only what a cold upstream bears keeps calls from it.
-    pub fn is_held_by_cold(&self, now: Millis) -> bool {
+    pub fn is_throttled_by_cold_start(&self, now: Millis) -> bool {
         self.running < self.limit && self.cold_start.next_at(now) > now
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Decides on a new call.
-    pub fn submit(&mut self, ticket: Ticket, now: Millis) -> Decision {
+    pub fn submit(&mut self, ticket: SlotRequest, now: Millis) -> Decision {
         if self.is_free(now) {
             self.running += 1;
             self.cold_start.note_start(now);
@@ -164,14 +164,14 @@
         let latest_start = ticket.deadline.min(now + ticket.patience_ms);
         let place = self.place(ticket);
         self.arrivals += 1;
-        let Ticket { job, rank, tenant, .. } = ticket;
+        let SlotRequest { job, rank, tenant, .. } = ticket;
         self.shares.taken(rank, tenant, place.2);
         self.waiting.insert(place, Waiting { job, tenant, latest_start });
         Decision::Wait
     }
 
     /// Whether a call would be taken in now; if not, when there may be room, milliseconds.
-    pub fn check_room(&mut self, ticket: Ticket, now: Millis) -> Result<(), u64> {
+    pub fn check_room(&mut self, ticket: SlotRequest, now: Millis) -> Result<(), u64> {
         if self.is_free(now) {
             return Ok(());
         }
@@ -184,7 +184,7 @@
         Err(retry_after_ms)
     }
 
-    fn place(&self, ticket: Ticket) -> Place {
+    fn place(&self, ticket: SlotRequest) -> Place {
         let turn = self.shares.turn(ticket.rank, ticket.tenant);
         (!ticket.begun, ticket.rank, turn, ticket.target_ms, self.arrivals)
     }
--- a/crates/admission/src/taken.rs
+++ b/crates/admission/src/taken.rs
@@ -15,12 +15,12 @@
 
 /// Slots taken by others, as the upstream's figures show.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TakenSlots {
+pub struct UntrackedSlots {
     count: u32,
     until: Millis,
 }
 
-impl TakenSlots {
+impl UntrackedSlots {
     /// Takes in how many requests the upstream has by its own count, those that wait included, and by
     /// the count of its sender. Of requests on their way it knows nothing, so a lower count says nothing.
     pub fn note(&mut self, told: u32, own: u32, now: Millis) {
@@ -34,7 +34,7 @@
     }
 
     /// Slots that are left of these.
-    pub fn left_of(&self, slots: u32, now: Millis) -> u32 {
+    pub fn available_of(&self, slots: u32, now: Millis) -> u32 {
         if !self.any(now) {
             return slots;
         }
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -1,6 +1,6 @@
 //! What a cold upstream is given: no more than it bears in any second, and as much of that as there is.
 
-use admission::{Admission, ColdRate, Decision, Ticket};
+use admission::{Admission, ColdRate, Decision, SlotRequest};
 
 const PER_S: f64 = 20.0;
 const BURST: f64 = 3.0;
@@ -57,7 +57,7 @@
             self.next += 1;
             let deadline = now + 2_000;
             let (job, rank, tenant, target_ms) = (self.next, 1, None, 300);
-            let ticket = Ticket { job, begun, rank, tenant, target_ms, patience_ms, deadline };
+            let ticket = SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline };
             match self.admission.submit(ticket, now) {
                 Decision::Run => self.started(now),
                 Decision::Wait => {}
@@ -161,7 +161,7 @@
 fn a_cold_upstream_is_given_nothing_before_it_is_known_what_it_bears() {
     let mut admission = Admission::new(LIMIT);
     admission.set_cold_until(COLD_MS);
-    let ticket = Ticket {
+    let ticket = SlotRequest {
         job: 1,
         begun: false,
         rank: 1,
--- a/crates/admission/tests/egress.rs
+++ b/crates/admission/tests/egress.rs
@@ -1,6 +1,6 @@
 //! The outgoing link: what goes first, what waits, and which runs may begin for it.
 
-use admission::{EgressBook, EgressKind, EgressTime, LinkRoom, Pacer, SendUrgency};
+use admission::{EgressClass, EgressReservations, EgressTimeLimits, LinkState, Pacer, SendUrgency};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -15,14 +15,14 @@
 const LARGE_PATIENCE_MS: u64 = 375;
 const LARGE_DEADLINE_MS: u64 = 1_500;
 const PLAYED_MS: u64 = 20_000;
-const LARGE: EgressKind = EgressKind { rank: 2, target_ms: 1_500 };
-const SMALL: EgressKind = EgressKind { rank: 2, target_ms: 200 };
-const UNHURRIED: SendUrgency = SendUrgency { unhurried: true, rank: 2, target_ms: 1_500 };
-const BEGUN: SendUrgency = SendUrgency { unhurried: false, rank: 2, target_ms: 200 };
+const LARGE: EgressClass = EgressClass { rank: 2, target_ms: 1_500 };
+const SMALL: EgressClass = EgressClass { rank: 2, target_ms: 200 };
+const UNHURRIED: SendUrgency = SendUrgency { deferrable: true, rank: 2, target_ms: 1_500 };
+const BEGUN: SendUrgency = SendUrgency { deferrable: false, rank: 2, target_ms: 200 };
 
 /// A caller of this patience that waits for as long as those of large answers do.
-fn within(patience_ms: u64) -> EgressTime {
-    EgressTime { patience_ms, deadline_ms: LARGE_DEADLINE_MS }
+fn within(patience_ms: u64) -> EgressTimeLimits {
+    EgressTimeLimits { patience_ms, deadline_ms: LARGE_DEADLINE_MS }
 }
 
 /// The link beyond the sockets: first come, first served.
@@ -99,7 +99,7 @@
 fn play(ratio: f64, told: f64) -> Played {
     let mut random = fastrand::Rng::with_seed(18);
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK * told));
-    let mut book = EgressBook::default();
+    let mut book = EgressReservations::default();
     let mut link = Link { bytes_per_ms: LINK, free_at_ms: 0.0 };
     let mut runs: VecDeque<(u64, u64, usize, u64)> = VecDeque::new();
     let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
@@ -110,8 +110,8 @@
     let mut job = 0;
     for now in 0..PLAYED_MS {
         let now_ms = now as f64;
-        book.set_room(LinkRoom {
-            bytes_per_ms: pacer.left_bytes_per_ms(now_ms),
+        book.set_link_state(LinkState {
+            bytes_per_ms: pacer.available_bytes_per_ms(now_ms),
             waiting_bytes: pacer.bytes(),
         });
         if now % 5 == 0 {
@@ -121,8 +121,8 @@
                 Ok(()),
                 "a small one is never refused"
             );
-            assert!(pacer.goes_at_once(SMALL_BYTES, BEGUN));
-            pacer.note_at_once(SMALL_BYTES, now_ms);
+            assert!(pacer.bypasses_pacing(SMALL_BYTES, BEGUN));
+            pacer.note_unpaced(SMALL_BYTES, now_ms);
             pacer.note_received(SMALL_BYTES, now_ms);
             link.carry(0, now_ms);
             link.free_at_ms += 66.0 / link.bytes_per_ms;
@@ -136,7 +136,7 @@
             played.large_asked += 1;
             match book.check_room(LARGE, within(LARGE_PATIENCE_MS), now) {
                 Ok(()) => {
-                    book.book(job, LARGE);
+                    book.reserve(job, LARGE);
                     let bytes = random.usize(LARGE_BYTES / 2..LARGE_BYTES * 3 / 2);
                     runs.push_back((now + LARGE_RUN_MS, job, bytes, now));
                 }
@@ -148,24 +148,24 @@
         }
         while let Some((_, job, bytes, since)) = runs.front().copied().filter(|run| run.0 <= now) {
             runs.pop_front();
-            book.end(job);
+            book.release(job);
             book.note_answer(LARGE, bytes, LARGE_RUN_MS);
             pacer.push(job, bytes, UNHURRIED, now_ms);
             waiting.insert(job, since);
         }
         played.most_waiting_bytes = played.most_waiting_bytes.max(pacer.bytes());
         for key in sockets.drained(now_ms) {
-            pacer.let_go(key);
+            pacer.note_writable(key);
         }
         while let Some(piece) = pacer.next(now_ms) {
             let taken = piece.bytes.min(sockets.room(piece.key));
-            pacer.handed_over(piece.key, taken, now_ms);
+            pacer.note_written(piece.key, taken, now_ms);
             let through_ms = link.carry(taken, now_ms);
             sockets.take(piece.key, taken, through_ms);
             if taken < piece.bytes {
-                pacer.hold_up(piece.key, now_ms);
+                pacer.note_blocked(piece.key, now_ms);
             }
-            if !pacer.holds(piece.key) {
+            if !pacer.is_waiting(piece.key) {
                 let since = waiting.remove(&piece.key).expect("waits");
                 let in_time = through_ms <= (since + LARGE_DEADLINE_MS) as f64;
                 played.large_in_time += u64::from(in_time);
@@ -245,14 +245,14 @@
 fn an_unknown_link_paces_and_refuses_nothing() {
     for told in [None, Some(0.0), Some(-1.0), Some(f64::NAN), Some(f64::INFINITY)] {
         let mut pacer: Pacer<u64> = Pacer::new(told);
-        assert!(pacer.goes_at_once(100_000_000, UNHURRIED), "{told:?}");
-        pacer.note_at_once(100_000_000, 1.0);
+        assert!(pacer.bypasses_pacing(100_000_000, UNHURRIED), "{told:?}");
+        pacer.note_unpaced(100_000_000, 1.0);
         assert_eq!(pacer.due_in_ms(1.0), None);
-        let mut book = EgressBook::default();
-        let bytes_per_ms = pacer.left_bytes_per_ms(1.0);
-        book.set_room(LinkRoom { bytes_per_ms, waiting_bytes: usize::MAX });
+        let mut book = EgressReservations::default();
+        let bytes_per_ms = pacer.available_bytes_per_ms(1.0);
+        book.set_link_state(LinkState { bytes_per_ms, waiting_bytes: usize::MAX });
         book.note_answer(LARGE, usize::MAX, u64::MAX);
-        book.book(1, LARGE);
+        book.reserve(1, LARGE);
         assert_eq!(book.check_room(LARGE, within(0), 1), Ok(()), "{told:?}");
         assert_eq!(book.wait_ms(), 0);
     }
@@ -261,7 +261,7 @@
 #[test]
 fn the_most_urgent_message_goes_first_and_those_of_one_kind_in_their_order() {
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK));
-    let urgency = |rank, target_ms| SendUrgency { unhurried: true, rank, target_ms };
+    let urgency = |rank, target_ms| SendUrgency { deferrable: true, rank, target_ms };
     pacer.push(1, 9_000, urgency(2, 1_500), 0.0);
     pacer.push(2, 9_000, urgency(2, 1_500), 0.0);
     pacer.push(3, 9_000, urgency(1, 1_500), 0.0);
@@ -271,7 +271,7 @@
     while pacer.bytes() > 0 {
         while let Some(piece) = pacer.next(now_ms) {
             assert!(piece.bytes <= 4_000, "a piece takes 2 ms");
-            pacer.handed_over(piece.key, piece.bytes, now_ms);
+            pacer.note_written(piece.key, piece.bytes, now_ms);
             order.push(piece.key);
         }
         now_ms += pacer.due_in_ms(now_ms).unwrap_or(0.0);
@@ -291,13 +291,13 @@
     }
     for key in 1..=4 {
         assert_eq!(pacer.next(0.0).map(|piece| piece.key), Some(key));
-        pacer.hold_up(key, 0.0);
+        pacer.note_blocked(key, 0.0);
     }
     assert_eq!(pacer.next(0.0), None, "what four were given may stand in the link");
     assert_eq!(pacer.due_in_ms(0.0), Some(150.0));
     assert_eq!(pacer.next(150.0).map(|piece| piece.key), Some(5));
     // One that takes bytes again is in its turn.
-    pacer.let_go(1);
+    pacer.note_writable(1);
     assert_eq!(pacer.next(150.0).map(|piece| piece.key), Some(1));
     // Closed ones leave nothing behind.
     for key in 1..=5 {
@@ -314,9 +314,9 @@
     let mut handed_over = 0;
     for now in 0..2_000 {
         let now_ms = f64::from(now);
-        pacer.note_at_once(LINK as usize, now_ms);
+        pacer.note_unpaced(LINK as usize, now_ms);
         while let Some(piece) = pacer.next(now_ms) {
-            pacer.handed_over(piece.key, piece.bytes, now_ms);
+            pacer.note_written(piece.key, piece.bytes, now_ms);
             handed_over += piece.bytes;
         }
     }
@@ -334,7 +334,7 @@
             let now_ms = f64::from(now);
             pacer.note_received(received_bytes, now_ms);
             while let Some(piece) = pacer.next(now_ms) {
-                pacer.handed_over(piece.key, piece.bytes, now_ms);
+                pacer.note_written(piece.key, piece.bytes, now_ms);
                 handed_over += piece.bytes;
             }
         }
@@ -350,7 +350,7 @@
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK));
     for key in 1..=4 {
         pacer.push(key, 50_000, UNHURRIED, 0.0);
-        pacer.hold_up(key, 0.0);
+        pacer.note_blocked(key, 0.0);
     }
     let part = |pacer: &Pacer<u64>| pacer.bytes_per_ms().expect("told") / (LINK * 0.95);
     assert!((part(&pacer) - 0.7).abs() < 0.01, "{}", part(&pacer));
@@ -365,12 +365,12 @@
 
 #[test]
 fn a_run_begins_only_if_its_answer_leaves_in_time() {
-    let mut book = EgressBook::default();
-    book.set_room(LinkRoom { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    let mut book = EgressReservations::default();
+    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
     assert_eq!(book.check_room(LARGE, within(0), 0), Ok(()), "nothing is known of its like yet");
     book.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
     for job in 0..10 {
-        book.book(job, LARGE);
+        book.reserve(job, LARGE);
     }
     // 900,000 bytes take 450 ms, 140 of them while it runs.
     assert_eq!(book.wait_ms(), 450);
@@ -379,44 +379,44 @@
     assert_eq!(book.check_room(LARGE, within(200), 0), Err(155), "behind one that comes back");
     assert_eq!(book.check_room(LARGE, within(200), 60_000), Err(110), "which was long ago");
     // A more urgent one does not stand behind them, nor does a small one.
-    let urgent = EgressKind { rank: 1, target_ms: 1_500 };
+    let urgent = EgressClass { rank: 1, target_ms: 1_500 };
     book.note_answer(urgent, LARGE_BYTES, LARGE_RUN_MS);
     assert_eq!(book.check_room(urgent, within(0), 0), Ok(()));
     book.note_answer(SMALL, SMALL_BYTES, 44);
     assert_eq!(book.check_room(SMALL, within(0), 0), Ok(()));
     // Those that end give back what they booked.
     for job in 0..10 {
-        book.end(job);
+        book.release(job);
     }
     assert_eq!((book.wait_ms(), book.check_room(LARGE, within(0), 60_000)), (0, Ok(())));
 }
 
 #[test]
 fn an_endless_answer_and_odd_deadlines_are_bounded() {
-    let mut book = EgressBook::default();
-    book.set_room(LinkRoom { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    let mut book = EgressReservations::default();
+    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
     book.note_answer(LARGE, usize::MAX, LARGE_RUN_MS);
-    book.book(1, LARGE);
+    book.reserve(1, LARGE);
     for patience_ms in [0, 1, 3_600_000] {
         assert_eq!(book.check_room(LARGE, within(patience_ms), 0), Err(10_000), "{patience_ms}");
     }
     // Sizes are taken anew: two hundred answers later it is forgotten.
-    book.end(1);
+    book.release(1);
     for _ in 0..2_000 {
         book.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
     }
-    book.book(2, LARGE);
+    book.reserve(2, LARGE);
     assert!(book.wait_ms() < 60, "{}", book.wait_ms());
-    book.note_leaving(usize::MAX);
-    book.note_leaving(usize::MAX);
+    book.note_sent(usize::MAX);
+    book.note_sent(usize::MAX);
     assert_eq!(book.check_room(LARGE, within(0), 60_000), Err(10_000));
     // A deadline of an hour does not fill the memory: what waits is bounded by what is refused.
-    book.set_room(LinkRoom { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
     assert_eq!(book.check_room(LARGE, within(3_600_000), 120_000), Ok(()));
     // Kinds are bounded: those past the bound are taken to be small.
     for rank in 0..10_000 {
-        book.note_answer(EgressKind { rank, target_ms: 1 }, LARGE_BYTES, 1);
+        book.note_answer(EgressClass { rank, target_ms: 1 }, LARGE_BYTES, 1);
     }
-    book.book(3, EgressKind { rank: 9_999, target_ms: 1 });
+    book.reserve(3, EgressClass { rank: 9_999, target_ms: 1 });
     assert!(book.wait_ms() < 60);
 }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -22,36 +22,39 @@
 
 fn serving() -> DrainGate {
     let mut gate = DrainGate::new(DRAIN_MS);
-    assert!(gate.told(&record("i-1", InstanceState::Ready), 1, 0));
+    assert!(gate.on_report(&record("i-1", InstanceState::Ready), 1, 0));
     gate
 }
 
 #[test]
 fn it_closes_well_before_the_drain_time_is_over() {
     let mut gate = serving();
-    assert!(gate.told(&record("i-1", InstanceState::Draining), 2, 10_000));
+    assert!(gate.on_report(&record("i-1", InstanceState::Draining), 2, 10_000));
     assert_eq!(gate.state(10_500), GateState::Closing);
     assert_eq!(gate.state(11_000), GateState::Closed);
-    assert!(gate.left(&incarnation("i-1"), 12_000));
+    assert!(gate.on_leave(&incarnation("i-1"), 12_000));
     assert_eq!(gate.state(12_000), GateState::Closed, "a second end opens nothing");
 }
 
 #[test]
 fn a_late_heartbeat_does_not_bring_an_incarnation_back() {
     let mut gate = serving();
-    gate.told(&record("i-1", InstanceState::Draining), 3, 10_000);
-    assert!(!gate.told(&record("i-1", InstanceState::Ready), 2, 10_100), "older");
-    assert!(!gate.told(&record("i-1", InstanceState::Ready), 4, 10_100), "newer, but gone is gone");
+    gate.on_report(&record("i-1", InstanceState::Draining), 3, 10_000);
+    assert!(!gate.on_report(&record("i-1", InstanceState::Ready), 2, 10_100), "older");
+    assert!(
+        !gate.on_report(&record("i-1", InstanceState::Ready), 4, 10_100),
+        "newer, but gone is gone"
+    );
     assert_eq!(gate.state(20_000), GateState::Closed);
 }
 
 #[test]
 fn a_replaced_incarnation_never_returns() {
     let mut gate = serving();
-    assert!(gate.told(&record("i-2", InstanceState::Ready), 1, 5_000));
+    assert!(gate.on_report(&record("i-2", InstanceState::Ready), 1, 5_000));
     assert_eq!(gate.id(), Some("i-2"));
-    assert!(!gate.told(&record("i-1", InstanceState::Ready), 9, 5_100));
-    assert!(!gate.left(&incarnation("i-1"), 5_200));
+    assert!(!gate.on_report(&record("i-1", InstanceState::Ready), 9, 5_100));
+    assert!(!gate.on_leave(&incarnation("i-1"), 5_200));
     assert_eq!((gate.id(), gate.state(5_300)), (Some("i-2"), GateState::Open));
 }
 
@@ -62,20 +65,20 @@
     assert_eq!(gate.state(50), GateState::Closed);
 
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&record("i-1", InstanceState::Ready), 7, 20);
+    gate.on_report(&record("i-1", InstanceState::Ready), 7, 20);
     gate.restore(&record("i-1", InstanceState::Left), 50);
     assert_eq!(gate.state(50), GateState::Closed);
 
     // The first thing heard after a kill is an end that the earlier life may have acknowledged.
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&record("i-1", InstanceState::Draining), 7, 20);
+    gate.on_report(&record("i-1", InstanceState::Draining), 7, 20);
     assert_eq!(gate.state(20), GateState::Closed);
 }
 
 #[test]
 fn what_coordinators_remember_does_not_replace_a_newer_incarnation() {
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&record("i-2", InstanceState::Ready), 1, 20);
+    gate.on_report(&record("i-2", InstanceState::Ready), 1, 20);
     gate.restore(&record("i-1", InstanceState::Left), 50);
     assert_eq!((gate.id(), gate.state(60)), (Some("i-2"), GateState::Open));
 }
@@ -92,10 +95,10 @@
     let mut gate = DrainGate::new(2_000);
     let long =
         InstanceRecord { version: "é".repeat(1_000_000), ..record("i-1", InstanceState::Ready) };
-    gate.told(&long, 1, 0);
+    gate.on_report(&long, 1, 0);
     let kept = gate.version().map(str::len);
     assert!(kept.is_some_and(|bytes| bytes <= MOST_VERSION_BYTES), "{kept:?}");
-    gate.told(&InstanceRecord { version: "v2".to_owned(), ..long }, 2, 10);
+    gate.on_report(&InstanceRecord { version: "v2".to_owned(), ..long }, 2, 10);
     assert_ne!(gate.version(), Some("v2"), "an incarnation does not change its software");
 }
 
@@ -119,20 +122,20 @@
         let now = step as u64 * 100;
         match *arrival {
             Arrival::Beat(id, sequence) => {
-                gate.told(&record(id, InstanceState::Ready), sequence, now);
+                gate.on_report(&record(id, InstanceState::Ready), sequence, now);
             }
             Arrival::Drain(id, sequence) => {
-                gate.told(&record(id, InstanceState::Draining), sequence, now);
+                gate.on_report(&record(id, InstanceState::Draining), sequence, now);
             }
             Arrival::Leave(id) => {
-                gate.left(&incarnation(id), now);
+                gate.on_leave(&incarnation(id), now);
             }
-            Arrival::Answers(id) => gate.confirmed(id),
+            Arrival::Answers(id) => gate.on_confirmed(id),
             Arrival::Denies(id) => {
-                gate.denied(id);
+                gate.on_wrong_instance(id);
             }
             Arrival::Ends(id) => {
-                gate.ended(id);
+                gate.on_crash(id);
             }
         }
     }
@@ -203,12 +206,12 @@
 #[test]
 fn one_that_starts_again_under_its_id_serves_though_the_earlier_start_had_left() {
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&born("i-1", 1_000, InstanceState::Ready), 7, 0);
-    gate.told(&born("i-1", 1_000, InstanceState::Draining), 8, 100);
-    gate.left(&born("i-1", 1_000, InstanceState::Left).incarnation(), 200);
+    gate.on_report(&born("i-1", 1_000, InstanceState::Ready), 7, 0);
+    gate.on_report(&born("i-1", 1_000, InstanceState::Draining), 8, 100);
+    gate.on_leave(&born("i-1", 1_000, InstanceState::Left).incarnation(), 200);
     assert_eq!(gate.state(5_000), GateState::Closed);
     // Its sequence begins anew.
-    assert!(gate.told(&born("i-1", 9_000, InstanceState::Ready), 1, 5_000));
+    assert!(gate.on_report(&born("i-1", 9_000, InstanceState::Ready), 1, 5_000));
     assert_eq!(gate.state(5_000), GateState::Open);
     assert_eq!(gate.record(5_000).map(|record| record.born_ms), Some(9_000));
 }
@@ -216,45 +219,48 @@
 #[test]
 fn words_of_an_earlier_start_change_nothing_after_the_later_one() {
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&born("i-1", 1_000, InstanceState::Ready), 7, 0);
-    gate.told(&born("i-1", 9_000, InstanceState::Ready), 1, 500);
-    assert!(!gate.told(&born("i-1", 1_000, InstanceState::Ready), 9, 600), "a held up beat");
-    assert!(!gate.told(&born("i-1", 1_000, InstanceState::Draining), 10, 700), "a held up end");
-    assert!(!gate.left(&born("i-1", 1_000, InstanceState::Left).incarnation(), 800));
+    gate.on_report(&born("i-1", 1_000, InstanceState::Ready), 7, 0);
+    gate.on_report(&born("i-1", 9_000, InstanceState::Ready), 1, 500);
+    assert!(!gate.on_report(&born("i-1", 1_000, InstanceState::Ready), 9, 600), "a held up beat");
+    assert!(
+        !gate.on_report(&born("i-1", 1_000, InstanceState::Draining), 10, 700),
+        "a held up end"
+    );
+    assert!(!gate.on_leave(&born("i-1", 1_000, InstanceState::Left).incarnation(), 800));
     assert_eq!(gate.state(900), GateState::Open);
     // A sidecar that never heard of the earlier one knows by the times of start.
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&born("i-1", 9_000, InstanceState::Ready), 1, 0);
-    assert!(!gate.told(&born("i-1", 1_000, InstanceState::Ready), 30, 100));
+    gate.on_report(&born("i-1", 9_000, InstanceState::Ready), 1, 0);
+    assert!(!gate.on_report(&born("i-1", 1_000, InstanceState::Ready), 30, 100));
     assert_eq!(gate.record(200).map(|record| record.born_ms), Some(9_000));
 }
 
 #[test]
 fn a_restart_within_one_beat_is_another_incarnation() {
     let mut gate = DrainGate::new(DRAIN_MS);
-    gate.told(&born("i-1", 1_000, InstanceState::Ready), 5, 0);
+    gate.on_report(&born("i-1", 1_000, InstanceState::Ready), 5, 0);
     let again =
         InstanceRecord { cold_remaining_ms: 3_000, ..born("i-1", 1_900, InstanceState::Ready) };
-    assert!(gate.told(&again, 1, 1_500), "the sequence is lower, and the start another");
+    assert!(gate.on_report(&again, 1, 1_500), "the sequence is lower, and the start another");
     assert!(gate.is_cold(2_000));
 }
 
 #[test]
 fn without_times_of_start_one_id_is_one_incarnation() {
     let mut gate = serving();
-    gate.told(&born("i-1", 9_000, InstanceState::Ready), 2, 100);
-    assert!(gate.left(&incarnation("i-1"), 200), "a leave without a body");
+    gate.on_report(&born("i-1", 9_000, InstanceState::Ready), 2, 100);
+    assert!(gate.on_leave(&incarnation("i-1"), 200), "a leave without a body");
     assert_eq!(gate.state(5_000), GateState::Closed);
-    assert!(!gate.told(&record("i-1", InstanceState::Ready), 9, 5_100), "gone is gone");
+    assert!(!gate.on_report(&record("i-1", InstanceState::Ready), 9, 5_100), "gone is gone");
 }
 
 #[test]
 fn one_that_becomes_cold_again_is_news() {
     let mut gate = serving();
     let cold = InstanceRecord { cold_remaining_ms: 3_000, ..record("i-1", InstanceState::Ready) };
-    assert!(gate.told(&cold, 2, 1_000));
+    assert!(gate.on_report(&cold, 2, 1_000));
     let later = InstanceRecord { cold_remaining_ms: 1_500, ..cold.clone() };
-    assert!(!gate.told(&later, 3, 2_500), "it is as cold as was known");
-    assert!(!gate.told(&record("i-1", InstanceState::Ready), 4, 4_000));
+    assert!(!gate.on_report(&later, 3, 2_500), "it is as cold as was known");
+    assert!(!gate.on_report(&record("i-1", InstanceState::Ready), 4, 4_000));
     assert!(!gate.is_cold(4_000));
 }
--- a/crates/admission/tests/health.rs
+++ b/crates/admission/tests/health.rs
@@ -1,12 +1,12 @@
 //! What the ends of calls say of an upstream.
 
-use admission::FailureShare;
+use admission::FailureRate;
 use expect_test::expect;
 use std::fmt::Write;
 
 /// Failed ends of each ten, over ten ends of 50 ms each, then rest; the share after each step.
 fn story(failed_of_ten: &[u64]) -> String {
-    let mut share = FailureShare::default();
+    let mut share = FailureRate::default();
     let mut text = String::new();
     let mut now = 0;
     for failed in failed_of_ten {
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_caller_that_leaves_tells_against_the_upstream_only_if_it_waited_long() {
-    let mut share = FailureShare::default();
+    let mut share = FailureRate::default();
     share.note_cancelled(390, 100.0, 0);
     assert_eq!(share.percent(0), 0);
     share.note_cancelled(410, 100.0, 0);
--- a/crates/admission/tests/pace.rs
+++ b/crates/admission/tests/pace.rs
@@ -19,7 +19,7 @@
 #[test]
 fn nothing_is_said_before_something_is_known() {
     let mut pace = Pace::default();
-    assert_eq!((pace.percent(0), pace.told_percent(0)), (0, 0));
+    assert_eq!((pace.percent(0), pace.reported_percent(0)), (0, 0));
     run(&mut pace, 1.6, 14, 0);
     assert_eq!(pace.percent(300), 0, "a few runs tell nothing");
     for _ in 0..100 {
@@ -55,7 +55,7 @@
     // A neighbour slows the upstream by 2.5 for one of four spells of 600 ms; it answers each 50 ms.
     for at in (0..7_200).step_by(50) {
         let slowed = at / 600 % 4 == 3;
-        pace.note_figure(if slowed { 300 } else { 120 }, at);
+        pace.note_reported(if slowed { 300 } else { 120 }, at);
         assert_eq!(pace.percent(at + 40), if slowed { 300 } else { 120 }, "at {at}");
     }
     for silent_ms in [0, 500, 599, 600, 5_000] {
@@ -80,24 +80,24 @@
     let mut seen = String::new();
     for _ in 0..5 {
         for _ in 0..25 {
-            pace.note_figure(50, at);
+            pace.note_reported(50, at);
             at = run(&mut pace, 1.5, 1, at);
         }
         write!(seen, "{} ", pace.percent(at)).expect("text");
     }
     expect!["102 124 134 138 140 "].assert_eq(&seen);
-    assert_eq!(pace.told_percent(at), 50, "what it tells is passed on as it is");
+    assert_eq!(pace.reported_percent(at), 50, "what it tells is passed on as it is");
 }
 
 #[test]
 fn figures_that_no_upstream_can_have_are_passed_over() {
     let mut pace = Pace::default();
     for percent in [0, 9, 3_001, u32::MAX] {
-        pace.note_figure(percent, 0);
+        pace.note_reported(percent, 0);
         assert_eq!(pace.percent(0), 0, "{percent}");
     }
-    pace.note_figure(140, 0);
-    pace.note_figure(u32::MAX, 10);
+    pace.note_reported(140, 0);
+    pace.note_reported(u32::MAX, 10);
     assert_eq!(pace.percent(10), 140);
 }
 
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,16 +1,16 @@
 //! The queue in front of an upstream: order, refusals, expiry.
 
-use admission::{Admission, Decision, Ticket};
+use admission::{Admission, Decision, SlotRequest};
 
 const LIMIT: u32 = 2;
 
-fn ticket(job: u64, rank: u32, patience_ms: u64) -> Ticket {
+fn ticket(job: u64, rank: u32, patience_ms: u64) -> SlotRequest {
     ticket_of(job, rank, 1_000, patience_ms)
 }
 
-fn ticket_of(job: u64, rank: u32, target_ms: u64, patience_ms: u64) -> Ticket {
+fn ticket_of(job: u64, rank: u32, target_ms: u64, patience_ms: u64) -> SlotRequest {
     let (begun, tenant, deadline) = (false, None, 1_000_000);
-    Ticket { job, begun, rank, tenant, target_ms, patience_ms, deadline }
+    SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline }
 }
 
 fn full() -> Admission {
@@ -105,7 +105,8 @@
 
 #[test]
 fn what_a_run_waits_for_goes_before_all_new_work() {
-    let begun = |job, rank, patience_ms| Ticket { begun: true, ..ticket(job, rank, patience_ms) };
+    let begun =
+        |job, rank, patience_ms| SlotRequest { begun: true, ..ticket(job, rank, patience_ms) };
     let mut admission = full();
     assert_eq!(admission.submit(ticket(10, 0, 900), 0), Decision::Wait);
     assert_eq!(admission.submit(begun(11, 2, 900), 1), Decision::Wait);
@@ -122,7 +123,7 @@
         assert_eq!(admission.submit(ticket(job, 0, 900), 0), Decision::Wait);
     }
     // Two slots of 100 ms each: behind ten others it would wait for 550 ms.
-    let begun = |job| Ticket { begun: true, ..ticket(job, 1, 60) };
+    let begun = |job| SlotRequest { begun: true, ..ticket(job, 1, 60) };
     assert!(admission.check_room(ticket(20, 1, 60), 0).is_err(), "new work is refused");
     assert_eq!(admission.submit(begun(21), 0), Decision::Wait);
     assert!(admission.check_room(begun(22), 0).is_err(), "behind its like it would be late");
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,6 +1,6 @@
 //! Shares of one upstream among tenants, in virtual time.
 
-use admission::{Admission, Decision, TenantKey, Ticket};
+use admission::{Admission, Decision, SlotRequest, TenantKey};
 use expect_test::expect;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,8 +13,8 @@
     Some(TenantKey::of(name.as_bytes()))
 }
 
-fn ticket(job: u64, tenant: Option<TenantKey>) -> Ticket {
-    Ticket {
+fn ticket(job: u64, tenant: Option<TenantKey>) -> SlotRequest {
+    SlotRequest {
         job,
         begun: false,
         rank: 1,
@@ -36,9 +36,9 @@
     for (job, tenant) in waiting {
         assert_eq!(admission.submit(ticket(job, tenant), 1), Decision::Wait, "{job}");
     }
-    let urgent = Ticket { rank: 0, ..ticket(15, key("hot")) };
+    let urgent = SlotRequest { rank: 0, ..ticket(15, key("hot")) };
     assert_eq!(admission.submit(urgent, 2), Decision::Wait);
-    let begun = Ticket { begun: true, rank: 9, ..ticket(16, None) };
+    let begun = SlotRequest { begun: true, rank: 9, ..ticket(16, None) };
     assert_eq!(admission.submit(begun, 2), Decision::Wait);
     let mut order = Vec::new();
     for _ in 0..7 {
@@ -55,7 +55,7 @@
     for tenant in [None, key("only")] {
         let mut admission = Admission::new(1);
         assert_eq!(admission.submit(ticket(0, tenant), 0), Decision::Run);
-        let patient = |job| Ticket { patience_ms: 10_000, ..ticket(job, tenant) };
+        let patient = |job| SlotRequest { patience_ms: 10_000, ..ticket(job, tenant) };
         for job in 1..9 {
             assert_eq!(admission.submit(patient(job), 0), Decision::Wait);
         }
@@ -70,17 +70,17 @@
 fn what_was_never_run_costs_no_turn() {
     let mut admission = Admission::new(1);
     assert_eq!(admission.submit(ticket(0, key("other")), 0), Decision::Run);
-    let patient = |job, tenant| Ticket { patience_ms: 10_000, ..ticket(job, key(tenant)) };
+    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..ticket(job, key(tenant)) };
     // Three of one tenant leave, three wait too long, and others are refused.
     for job in 1..4 {
         assert_eq!(admission.submit(patient(job, "a"), 0), Decision::Wait);
         assert!(admission.cancel(job));
         assert_eq!(
-            admission.submit(Ticket { deadline: 9, ..patient(job, "a") }, 0),
+            admission.submit(SlotRequest { deadline: 9, ..patient(job, "a") }, 0),
             Decision::Wait
         );
         assert_eq!(admission.expire(10), [job]);
-        let hurried = Ticket { patience_ms: 0, ..patient(job, "a") };
+        let hurried = SlotRequest { patience_ms: 0, ..patient(job, "a") };
         assert!(matches!(admission.submit(hurried, 20), Decision::Refuse { .. }));
     }
     for (job, tenant) in [(20, "b"), (21, "b"), (10, "a"), (11, "a")] {
@@ -101,7 +101,7 @@
         assert_eq!(admission.submit(ticket(job, key("a")), 0), Decision::Run);
         admission.release(None);
     }
-    let patient = |job, tenant| Ticket { patience_ms: 10_000, ..ticket(job, key(tenant)) };
+    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..ticket(job, key(tenant)) };
     assert_eq!(admission.submit(patient(1_000, "a"), 0), Decision::Run);
     for (job, tenant) in [(1, "a"), (2, "b"), (3, "a"), (4, "b"), (5, "b")] {
         assert_eq!(admission.submit(patient(job, tenant), 0), Decision::Wait);
@@ -120,7 +120,7 @@
         let mut admission = Admission::new(1);
         for number in 0..20_000_u64 {
             let tenant = key(&number.to_string());
-            let ticket = Ticket { rank: (number % ranks) as u32, ..ticket(number, tenant) };
+            let ticket = SlotRequest { rank: (number % ranks) as u32, ..ticket(number, tenant) };
             assert_eq!(admission.submit(ticket, 0), Decision::Run, "{number}");
             admission.release(None);
         }
--- a/crates/admission/tests/taken.rs
+++ b/crates/admission/tests/taken.rs
@@ -1,6 +1,6 @@
 //! Slots that are taken by what the sender does not know of.
 
-use admission::TakenSlots;
+use admission::UntrackedSlots;
 
 #[test]
 fn what_the_upstream_has_beyond_what_it_was_given_takes_slots() {
@@ -14,15 +14,15 @@
         ("all that can be told", u32::MAX, 0, [6, 6, 12]),
     ];
     for (name, told, own, expected) in rows {
-        let mut taken = TakenSlots::default();
+        let mut taken = UntrackedSlots::default();
         taken.note(told, own, 1_000);
-        let left = [1_000, 1_299, 1_300].map(|at| taken.left_of(12, at));
+        let left = [1_000, 1_299, 1_300].map(|at| taken.available_of(12, at));
         assert_eq!(left, expected, "{name}");
         // The next answer shows that it is over.
         taken.note(own, own, 1_010);
-        assert_eq!(taken.left_of(12, 1_010), 12, "{name}");
+        assert_eq!(taken.available_of(12, 1_010), 12, "{name}");
     }
-    let mut taken = TakenSlots::default();
+    let mut taken = UntrackedSlots::default();
     taken.note(9, 0, 0);
-    assert_eq!(taken.left_of(1, 0), 1, "one slot is always left");
+    assert_eq!(taken.available_of(1, 0), 1, "one slot is always left");
 }
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -96,12 +96,12 @@
     fn wait_until_held_elsewhere(&self, fingerprint: Fingerprint) -> bool {
         let is_alone = self.group.members().len() <= 1;
         let end = BootInstant::now() + HELD_ELSEWHERE_TIMEOUT;
-        let is_held = || is_alone || !self.hub.lock().poison.is_held_here_only(fingerprint);
+        let is_held = || is_alone || !self.hub.lock().poison.awaits_replication(fingerprint);
         while !is_held() && BootInstant::now() < end {
             thread::sleep(HELD_ELSEWHERE_LOOK);
         }
         let held = is_held();
-        self.hub.lock().poison.forget_held_here_only(fingerprint);
+        self.hub.lock().poison.stop_awaiting_replication(fingerprint);
         held
     }
 
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -4,7 +4,7 @@
 use canary::Evidence;
 use mesh::{Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry};
 use mio::Waker;
-use quarantine::{NoticeBoard, Verdict};
+use quarantine::{NoticeLog, Verdict};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
@@ -23,7 +23,7 @@
     pub registry: Registry,
     pub loads: LoadBoard,
     /// What was told of requests that may crash upstreams.
-    pub poison: NoticeBoard,
+    pub poison: NoticeLog,
     /// What was told of the canary of each service that has one under way.
     pub evidence: BTreeMap<String, Evidence>,
     /// Rises with each change of the configuration or the members.
@@ -37,7 +37,7 @@
         let state = HubState {
             registry,
             loads,
-            poison: NoticeBoard::default(),
+            poison: NoticeLog::default(),
             evidence: BTreeMap::new(),
             revision: 0,
         };
@@ -84,7 +84,7 @@
         let former = state.poison.position();
         for notice in notices {
             let told = ToldPoison::of(&notice);
-            let verdict = state.poison.take(notice, here, now);
+            let verdict = state.poison.apply(notice, here, now);
             told.log(here, verdict.is_some());
             if let Some(Verdict::Quarantined(entries)) = verdict {
                 for QuarantineEntry { fingerprint, crashes, left_ms } in entries {
--- a/crates/coordinator/src/registry_loop.rs
+++ b/crates/coordinator/src/registry_loop.rs
@@ -136,7 +136,7 @@
             peers.iter().copied().partition(missed);
         let state = self.hub.lock();
         let all = if behind.is_empty() { Vec::new() } else { state.poison.all(now) };
-        let news = state.poison.told_since(told.poison, now);
+        let news = state.poison.forwarded_since(told.poison, now);
         told.poison = state.poison.position();
         drop(state);
         for (peers, notices) in [(behind, all), (others, news)] {
--- a/crates/quarantine/src/board.rs
+++ b/crates/quarantine/src/board.rs
@@ -1,6 +1,6 @@
 //! What a coordinator passes on of crashes and suspects; soft state.
 
-use crate::{Millis, Quarantine, Verdict, CRASH_MEMORY_MS};
+use crate::{Millis, Quarantine, Verdict, CRASH_RETENTION_MS};
 use mesh::{Clearing, CrashId, Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -18,7 +18,7 @@
 
 /// Notices in the order in which they came, each once, and what they come to.
 #[derive(Clone, Debug, Default)]
-pub struct NoticeBoard {
+pub struct NoticeLog {
     position: u64,
     notices: VecDeque<Held>,
     quarantine: Quarantine,
@@ -26,10 +26,10 @@
     held_here_only: BTreeSet<Fingerprint>,
 }
 
-impl NoticeBoard {
+impl NoticeLog {
     /// Takes in what a sidecar told (`here`) or another coordinator passed on; what a notice came to
     /// if it is new.
-    pub fn take(&mut self, notice: PoisonNotice, here: bool, now: Millis) -> Option<Verdict> {
+    pub fn apply(&mut self, notice: PoisonNotice, here: bool, now: Millis) -> Option<Verdict> {
         let PoisonNotice { age_ms, news } = notice;
         let at = now.saturating_sub(age_ms);
         if let (PoisonNews::Cleared(clearing), false) = (&news, here) {
@@ -80,19 +80,19 @@
     }
 
     /// Whether a request was cleared here and no other coordinator has told that back.
-    pub fn is_held_here_only(&self, fingerprint: Fingerprint) -> bool {
+    pub fn awaits_replication(&self, fingerprint: Fingerprint) -> bool {
         self.held_here_only.contains(&fingerprint)
     }
 
     /// Notes that nobody waits any more for others to have a clearing.
-    pub fn forget_held_here_only(&mut self, fingerprint: Fingerprint) {
+    pub fn stop_awaiting_replication(&mut self, fingerprint: Fingerprint) {
         self.held_here_only.remove(&fingerprint);
     }
 
     /// Forgets what is too old to tell anything.
     pub fn expire(&mut self, now: Millis) {
         self.quarantine.expire(now);
-        while self.notices.front().is_some_and(|held| held.at + CRASH_MEMORY_MS <= now) {
+        while self.notices.front().is_some_and(|held| held.at + CRASH_RETENTION_MS <= now) {
             self.notices.pop_front();
         }
     }
@@ -137,7 +137,7 @@
     }
 
     /// Notices after a position that are passed on to other coordinators.
-    pub fn told_since(&self, position: u64, now: Millis) -> Vec<PoisonNotice> {
+    pub fn forwarded_since(&self, position: u64, now: Millis) -> Vec<PoisonNotice> {
         self.newer(position, now, |held| held.passed_on)
     }
 
--- a/crates/quarantine/src/clearings.rs
+++ b/crates/quarantine/src/clearings.rs
@@ -12,7 +12,7 @@
 /// quarantine and its probation, during which a node that was cut off may still tell of it.
 const QUARANTINE_MEMORY_MS: u64 = 2 * 3_600_000;
 /// How long a clearing of a suspect is remembered, milliseconds: as long as the end is.
-const SUSPECT_MEMORY_MS: u64 = crate::CRASH_MEMORY_MS;
+const SUSPECT_MEMORY_MS: u64 = crate::CRASH_RETENTION_MS;
 /// Most requests of which clearings are remembered; at some 60 bytes each on a link, 15 kB.
 const MOST_CLEARED: usize = 256;
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -12,10 +12,10 @@
 mod quarantine;
 mod recent;
 
-pub use board::NoticeBoard;
+pub use board::NoticeLog;
 pub use identity::{crash_id, RequestIdentity};
-pub use quarantine::{Quarantine, Standing, Verdict, CRASH_MEMORY_MS};
-pub use recent::RecentRuns;
+pub use quarantine::{Quarantine, RequestStatus, Verdict, CRASH_RETENTION_MS};
+pub use recent::RecentSuccesses;
 
 /// Milliseconds of a monotonic clock.
 pub type Millis = u64;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 /// How long a crash is remembered, milliseconds: a caller that repeats every few minutes is still
 /// recognized.
-pub const CRASH_MEMORY_MS: u64 = 600_000;
+pub const CRASH_RETENTION_MS: u64 = 600_000;
 /// Most crashes remembered; a fleet of 2,200 has nine failed machines and 870 restarts a day.
 const MOST_CRASHES: usize = 256;
 /// Most requests of one crash that are remembered; an upstream has some tens of slots.
@@ -29,7 +29,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RequestStatus {
     /// Nothing is known against it.
     Clear,
     /// An upstream ended while it ran, and nothing else explains that.
@@ -109,19 +109,19 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Millis) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: Millis) -> RequestStatus {
         if let Some(entry) = self.entries.get(&fingerprint) {
             if entry.holds(now) {
-                return Standing::Quarantined { left_ms: entry.until - now };
+                return RequestStatus::Quarantined { left_ms: entry.until - now };
             }
             if entry.is_on_probation(now) {
-                return Standing::Suspect;
+                return RequestStatus::Suspect;
             }
         }
         let unexplained = |id: &u64| self.crashes.get(id).is_some_and(|crash| !crash.explained);
         match self.suspects.get(&fingerprint) {
-            Some(crashes) if crashes.iter().any(unexplained) => Standing::Suspect,
-            _ => Standing::Clear,
+            Some(crashes) if crashes.iter().any(unexplained) => RequestStatus::Suspect,
+            _ => RequestStatus::Clear,
         }
     }
 
@@ -323,14 +323,16 @@
     /// Requests that ran in a crash that nothing explains.
     pub fn suspects(&self, now: Millis) -> usize {
         let known = self.suspects.keys().chain(self.entries.keys());
-        known.filter(|fingerprint| self.standing(**fingerprint, now) == Standing::Suspect).count()
+        known
+            .filter(|fingerprint| self.status(**fingerprint, now) == RequestStatus::Suspect)
+            .count()
     }
 
     /// Forgets what is too old to tell anything.
     pub fn expire(&mut self, now: Millis) {
         self.entries.retain(|_, entry| entry.holds(now) || entry.is_on_probation(now));
         self.clearings.expire(now);
-        let old = |crash: &Crash| crash.at + CRASH_MEMORY_MS <= now;
+        let old = |crash: &Crash| crash.at + CRASH_RETENTION_MS <= now;
         while self.crashes.first_key_value().is_some_and(|(_, crash)| old(crash)) {
             self.forget_first_crash();
         }
--- a/crates/quarantine/src/recent.rs
+++ b/crates/quarantine/src/recent.rs
@@ -13,12 +13,12 @@
 
 /// The newest good runs of one node's upstream.
 #[derive(Clone, Debug, Default)]
-pub struct RecentRuns {
+pub struct RecentSuccesses {
     newest: BTreeMap<Fingerprint, Millis>,
     order: VecDeque<(Fingerprint, Millis)>,
 }
 
-impl RecentRuns {
+impl RecentSuccesses {
     /// Takes in a good run.
     pub fn note(&mut self, fingerprint: Fingerprint, now: Millis) {
         self.newest.insert(fingerprint, now);
@@ -38,7 +38,7 @@
     }
 
     /// Whether a request ran well a moment ago.
-    pub fn speak_for(&self, fingerprint: Fingerprint, now: Millis) -> bool {
+    pub fn contains(&self, fingerprint: Fingerprint, now: Millis) -> bool {
         self.newest.get(&fingerprint).is_some_and(|at| now < at + TRUSTED_MS)
     }
 }
--- a/crates/quarantine/tests/board.rs
+++ b/crates/quarantine/tests/board.rs
@@ -1,7 +1,7 @@
 //! What a coordinator passes on.
 
 use mesh::{Clearing, CrashId, CrashReport, Fingerprint, NodeAddress, PoisonNews, PoisonNotice};
-use quarantine::{crash_id, NoticeBoard, Quarantine, Standing};
+use quarantine::{crash_id, NoticeLog, Quarantine, RequestStatus};
 use std::net::Ipv4Addr;
 
 const NODE: NodeAddress = NodeAddress { ip: Ipv4Addr::new(10, 0, 0, 9), port: 8_300 };
@@ -28,29 +28,33 @@
 
 #[test]
 fn each_notice_is_passed_on_once_and_with_its_age() {
-    let mut board = NoticeBoard::default();
-    assert!(board.take(crash("i-1", &[1, 2]), true, 1_000).is_some());
-    assert!(board.take(crash("i-1", &[1, 2]), false, 1_100).is_none(), "told twice");
-    assert!(board.take(cleared(7, &[]), true, 1_200).is_none(), "nothing was held against it");
+    let mut board = NoticeLog::default();
+    assert!(board.apply(crash("i-1", &[1, 2]), true, 1_000).is_some());
+    assert!(board.apply(crash("i-1", &[1, 2]), false, 1_100).is_none(), "told twice");
+    assert!(board.apply(cleared(7, &[]), true, 1_200).is_none(), "nothing was held against it");
     let position = board.position();
-    assert!(board.take(cleared(1, &["i-1"]), false, 1_300).is_some());
-    assert!(board.take(cleared(1, &["i-1"]), false, 1_350).is_none(), "told twice");
+    assert!(board.apply(cleared(1, &["i-1"]), false, 1_300).is_some());
+    assert!(board.apply(cleared(1, &["i-1"]), false, 1_350).is_none(), "told twice");
     assert_eq!(board.since(0, 2_000).len(), 2);
     assert_eq!(board.since(0, 2_000)[0].age_ms, 1_000);
     assert_eq!(board.since(position, 2_000).len(), 1);
-    assert_eq!(board.told_since(0, 2_000).len(), 1, "what others told they pass on themselves");
+    assert_eq!(
+        board.forwarded_since(0, 2_000).len(),
+        1,
+        "what others told they pass on themselves"
+    );
 }
 
 #[test]
 fn a_sidecar_that_starts_later_judges_as_those_that_heard_all() {
-    let mut board = NoticeBoard::default();
+    let mut board = NoticeLog::default();
     for (at, notice) in [
         (0, crash("i-1", &[1, 2, 3])),
         (100, cleared(2, &["i-1"])),
         (200, crash("i-2", &[2, 3])),
         (300, crash("i-3", &[2, 9])),
     ] {
-        board.take(notice, true, at);
+        board.apply(notice, true, at);
     }
     let mut late = Quarantine::default();
     let now = 50_000;
@@ -66,14 +70,14 @@
         }
     }
     assert_eq!(late.entries(now), board.entries(now));
-    assert_eq!(late.standing(Fingerprint(3), now), Standing::Quarantined { left_ms: 10_200 });
+    assert_eq!(late.status(Fingerprint(3), now), RequestStatus::Quarantined { left_ms: 10_200 });
 }
 
 #[test]
 fn an_operator_clears_a_request() {
-    let mut board = NoticeBoard::default();
-    board.take(crash("i-1", &[1]), true, 0);
-    board.take(crash("i-2", &[1]), true, 0);
+    let mut board = NoticeLog::default();
+    board.apply(crash("i-1", &[1]), true, 0);
+    board.apply(crash("i-2", &[1]), true, 0);
     assert_eq!(board.entries(10).len(), 1);
     assert!(board.clear(Fingerprint(1), 20));
     assert!(!board.clear(Fingerprint(1), 20));
@@ -84,17 +88,17 @@
 
 #[test]
 fn notices_without_end_take_bounded_memory() {
-    let mut board = NoticeBoard::default();
+    let mut board = NoticeLog::default();
     for number in 0..10_000_u64 {
-        board.take(crash(&format!("i-{number}"), &[number]), true, number);
+        board.apply(crash(&format!("i-{number}"), &[number]), true, number);
     }
     assert_eq!(board.since(0, 10_000).len(), 256);
 }
 
 #[test]
 fn notices_end_with_time_though_nothing_more_happens() {
-    let mut board = NoticeBoard::default();
-    board.take(crash("i-1", &[1]), true, 0);
+    let mut board = NoticeLog::default();
+    board.apply(crash("i-1", &[1]), true, 0);
     board.expire(599_999);
     assert_eq!((board.since(0, 599_999).len(), board.suspects(599_999)), (1, 1));
     board.expire(600_000);
@@ -104,25 +108,29 @@
 /// It may have told its sidecars of a quarantine that it heard of too late itself.
 #[test]
 fn a_clearing_is_passed_on_also_by_who_holds_nothing_against_the_request() {
-    let mut board = NoticeBoard::default();
-    assert!(board.take(cleared(1, &["i-1", "i-2"]), false, 0).is_some());
+    let mut board = NoticeLog::default();
+    assert!(board.apply(cleared(1, &["i-1", "i-2"]), false, 0).is_some());
     assert_eq!(board.since(0, 10).len(), 1, "sidecars are told");
-    assert_eq!(board.told_since(0, 10).len(), 1, "others are, should the first to tell have ended");
-    assert!(board.take(cleared(1, &["i-1", "i-2"]), false, 20).is_none(), "once");
-    assert!(board.take(crash("i-1", &[1]), true, 30).is_some());
-    assert!(board.take(crash("i-2", &[1]), true, 30).is_some());
+    assert_eq!(
+        board.forwarded_since(0, 10).len(),
+        1,
+        "others are, should the first to tell have ended"
+    );
+    assert!(board.apply(cleared(1, &["i-1", "i-2"]), false, 20).is_none(), "once");
+    assert!(board.apply(crash("i-1", &[1]), true, 30).is_some());
+    assert!(board.apply(crash("i-2", &[1]), true, 30).is_some());
     assert!(board.entries(40).is_empty(), "word of the ends came late");
 }
 
 #[test]
 fn a_subscriber_that_is_behind_is_told_all_clearings_that_are_remembered() {
-    let mut board = NoticeBoard::default();
-    board.take(crash("i-1", &[1]), true, 0);
-    board.take(crash("i-2", &[1]), true, 0);
+    let mut board = NoticeLog::default();
+    board.apply(crash("i-1", &[1]), true, 0);
+    board.apply(crash("i-2", &[1]), true, 0);
     board.clear(Fingerprint(1), 1_000);
     let heard = board.position();
     for number in 0..300_u64 {
-        board.take(crash(&format!("i-{number}-x"), &[100 + number]), true, 2_000);
+        board.apply(crash(&format!("i-{number}-x"), &[100 + number]), true, 2_000);
     }
     let first = |position| board.since(position, 3_000).into_iter().next().expect("a notice");
     let mut both = clearing(1, &["i-1", "i-2"]);
@@ -133,16 +141,16 @@
 
 #[test]
 fn a_clearing_is_known_to_be_held_elsewhere_once_another_tells_it_back() {
-    let mut board = NoticeBoard::default();
-    board.take(crash("i-1", &[1]), true, 0);
-    board.take(crash("i-2", &[1]), true, 0);
+    let mut board = NoticeLog::default();
+    board.apply(crash("i-1", &[1]), true, 0);
+    board.apply(crash("i-2", &[1]), true, 0);
     assert!(board.clear(Fingerprint(1), 20));
-    assert!(board.is_held_here_only(Fingerprint(1)));
-    board.take(cleared(1, &["i-1", "i-2"]), true, 30);
-    assert!(board.is_held_here_only(Fingerprint(1)), "a sidecar is no coordinator");
-    board.take(cleared(1, &["i-1", "i-2"]), false, 40);
-    assert!(!board.is_held_here_only(Fingerprint(1)));
-    board.take(crash("i-3", &[2]), true, 50);
+    assert!(board.awaits_replication(Fingerprint(1)));
+    board.apply(cleared(1, &["i-1", "i-2"]), true, 30);
+    assert!(board.awaits_replication(Fingerprint(1)), "a sidecar is no coordinator");
+    board.apply(cleared(1, &["i-1", "i-2"]), false, 40);
+    assert!(!board.awaits_replication(Fingerprint(1)));
+    board.apply(crash("i-3", &[2]), true, 50);
     assert!(board.clear(Fingerprint(2), 60));
-    assert!(!board.is_held_here_only(Fingerprint(2)), "others do not tell a suspect's back");
+    assert!(!board.awaits_replication(Fingerprint(2)), "others do not tell a suspect's back");
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use expect_test::expect;
 use mesh::{Clearing, CrashId, CrashReport, Fingerprint, NodeAddress, QuarantineEntry};
-use quarantine::{crash_id, Quarantine, RecentRuns, Standing, Verdict};
+use quarantine::{crash_id, Quarantine, RecentSuccesses, RequestStatus, Verdict};
 use std::net::Ipv4Addr;
 
 const NODE: NodeAddress = NodeAddress { ip: Ipv4Addr::new(10, 0, 0, 9), port: 8_300 };
@@ -16,11 +16,11 @@
 }
 
 fn is_suspect(quarantine: &Quarantine, request: u64, now: u64) -> bool {
-    quarantine.standing(Fingerprint(request), now) == Standing::Suspect
+    quarantine.status(Fingerprint(request), now) == RequestStatus::Suspect
 }
 
 fn is_kept_away(quarantine: &Quarantine, request: u64, now: u64) -> bool {
-    matches!(quarantine.standing(Fingerprint(request), now), Standing::Quarantined { .. })
+    matches!(quarantine.status(Fingerprint(request), now), RequestStatus::Quarantined { .. })
 }
 
 fn shown(verdict: &Verdict) -> String {
@@ -133,7 +133,7 @@
     quarantine.note_crash(&report("i-3", [2, 4]), 20);
     assert!(is_kept_away(&quarantine, 2, 30));
     assert!(quarantine.clear(Fingerprint(2), 0).is_some());
-    assert_eq!(quarantine.standing(Fingerprint(2), 30), Standing::Clear);
+    assert_eq!(quarantine.status(Fingerprint(2), 30), RequestStatus::Clear);
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let mut now = MINUTE + 5;
     let mut crashes = 0;
     while now < 24 * 60 * MINUTE {
-        let Standing::Quarantined { left_ms } = quarantine.standing(Fingerprint(POISON), now)
+        let RequestStatus::Quarantined { left_ms } = quarantine.status(Fingerprint(POISON), now)
         else {
             crashes += 1;
             quarantine.note_crash(&report(&format!("later-{crashes}"), [POISON]), now);
@@ -203,17 +203,17 @@
 
 #[test]
 fn good_runs_speak_for_five_seconds() {
-    let mut recent = RecentRuns::default();
+    let mut recent = RecentSuccesses::default();
     recent.note(Fingerprint(1), 100);
     recent.note(Fingerprint(1), 3_000);
-    assert!(recent.speak_for(Fingerprint(1), 7_999));
-    assert!(!recent.speak_for(Fingerprint(1), 8_000));
-    assert!(!recent.speak_for(Fingerprint(2), 100));
+    assert!(recent.contains(Fingerprint(1), 7_999));
+    assert!(!recent.contains(Fingerprint(1), 8_000));
+    assert!(!recent.contains(Fingerprint(2), 100));
     for request in 10..2_000 {
         recent.note(Fingerprint(request), 8_100);
     }
-    assert!(!recent.speak_for(Fingerprint(10), 8_200), "the oldest go first");
-    assert!(recent.speak_for(Fingerprint(1_999), 8_200));
+    assert!(!recent.contains(Fingerprint(10), 8_200), "the oldest go first");
+    assert!(recent.contains(Fingerprint(1_999), 8_200));
 }
 
 /// A fleet in virtual time: requests run at upstreams of a service, poison among them, machines
@@ -314,7 +314,7 @@
     assert!(quarantine.note_cleared(&clearing(&["i-1", "i-2"]), 100));
     assert!(is_suspect(&quarantine, POISON, 100), "who cleared it had not heard of the third");
     assert!(quarantine.note_cleared(&clearing(&["i-3"]), 200));
-    assert_eq!(quarantine.standing(Fingerprint(POISON), 200), Standing::Clear);
+    assert_eq!(quarantine.status(Fingerprint(POISON), 200), RequestStatus::Clear);
 }
 
 #[test]
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -26,7 +26,7 @@
     AskedBy, BudgetBounds, CallEnd, CanaryShares, ClassTimes, Locality, PlacementView, Pressure,
     RetryBudget, Throttle, Urgency, WeightedSplit,
 };
-use quarantine::Standing;
+use quarantine::RequestStatus;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::info;
@@ -338,7 +338,7 @@
         let told = request.headers.number(self.names.deadline_ms).unwrap_or(timeout);
         let urgency = urgency_of(route, holder.as_ref());
         let standing = self.poison.standing(&service, &request, now);
-        if let Standing::Quarantined { left_ms } = standing {
+        if let RequestStatus::Quarantined { left_ms } = standing {
             self.return_credit(holder.as_ref(), now);
             return vec![self.refuse_quarantined(origin, &attempt_id, &route.name, left_ms)];
         }
@@ -374,7 +374,7 @@
             target_ms: urgency.target_ms,
             service,
             track,
-            suspect: standing == Standing::Suspect,
+            suspect: standing == RequestStatus::Suspect,
             begun: lineage != Lineage::Caller,
             arrived,
             told_ms: told,
--- a/crates/sidecar/src/jobs/arrival.rs
+++ b/crates/sidecar/src/jobs/arrival.rs
@@ -2,10 +2,10 @@
 
 use super::{Job, JobAction, Jobs, Refusal, Source};
 use crate::Millis;
-use admission::{Decision, EgressKind, EgressTime, GateState, TenantKey, Ticket};
+use admission::{Decision, EgressClass, EgressTimeLimits, GateState, SlotRequest, TenantKey};
 use http1::Request;
 use mesh::{CallClass, HopRequest};
-use quarantine::Standing;
+use quarantine::RequestStatus;
 use std::rc::Rc;
 
 /// A call that waited longer than this on its way is not run, milliseconds: its caller may have left
@@ -66,15 +66,15 @@
         let attempt_id = request.headers.text(self.names.attempt_id).unwrap_or("-").to_owned();
         let Way { waited_ms, offered_ms } = way;
         let standing = self.poison.standing(&self.service, &request, now);
-        let suspect = hop.suspect || standing == Standing::Suspect;
+        let suspect = hop.suspect || standing == RequestStatus::Suspect;
         let barred = self.mismatch(hop, now).or(way.too_late(hop));
         if let Some(reason) = barred.or_else(|| self.keeps_away(standing, suspect)) {
             let refusal = self.kept_away(&attempt_id, reason, way, standing, &request);
             return vec![self.refuse(source, refusal, now)];
         }
-        let kind = EgressKind { rank: hop.rank, target_ms: hop.target_ms };
+        let kind = EgressClass { rank: hop.rank, target_ms: hop.target_ms };
         let leaves = matches!(source, Source::Peer { .. });
-        let time = EgressTime {
+        let time = EgressTimeLimits {
             patience_ms: hop.patience_ms.saturating_sub(waited_ms),
             deadline_ms: hop.deadline_ms.saturating_sub(waited_ms + offered_ms),
         };
@@ -91,7 +91,7 @@
         let HopRequest { begun, rank, target_ms, .. } = *hop;
         let patience_ms = hop.patience_ms.saturating_sub(waited_ms);
         let tenant = request.headers.get(self.names.tenant).map(TenantKey::of);
-        let ticket = Ticket { job, begun, rank, tenant, target_ms, patience_ms, deadline };
+        let ticket = SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline };
         let decision = self.admission.submit(ticket, now);
         if let Decision::Refuse { retry_after_ms } = decision {
             let reason = self.why_no_room(now);
@@ -115,7 +115,7 @@
         self.jobs.insert(job, entry);
         self.by_source.insert(source, job);
         if leaves {
-            self.egress.book(job, kind);
+            self.egress.reserve(job, kind);
         }
         match decision {
             Decision::Run => self.start(job, now).into_iter().collect(),
@@ -129,14 +129,14 @@
         id: &'a str,
         reason: &'a str,
         way: Way,
-        standing: Standing,
+        standing: RequestStatus,
         request: &Request,
     ) -> Refusal<'a> {
         let (quarantine_left_ms, quarantine_crashes) = match standing {
-            Standing::Quarantined { left_ms } => {
+            RequestStatus::Quarantined { left_ms } => {
                 (left_ms, self.poison.newest_crashes(&self.service, request))
             }
-            Standing::Suspect | Standing::Clear => Default::default(),
+            RequestStatus::Suspect | RequestStatus::Clear => Default::default(),
         };
         Refusal {
             id,
@@ -154,8 +154,8 @@
     fn link_refusal(
         &mut self,
         bound: bool,
-        kind: EgressKind,
-        time: EgressTime,
+        kind: EgressClass,
+        time: EgressTimeLimits,
         now: Millis,
     ) -> Option<u64> {
         let refused = match bound {
@@ -168,7 +168,7 @@
 
     /// Why a call has no room in the queue; counts those that a cold upstream does not bear.
     fn why_no_room(&mut self, now: Millis) -> &'static str {
-        if !self.admission.is_held_by_cold(now) {
+        if !self.admission.is_throttled_by_cold_start(now) {
             return "no_room";
         }
         self.cold_refusals += 1;
@@ -177,8 +177,8 @@
 
     /// Why a request is kept from the upstream for what it may do to it. Of suspects, one runs at a
     /// time: should it end the upstream, it is known which did, and the others are not run in vain.
-    fn keeps_away(&self, standing: Standing, suspect: bool) -> Option<&'static str> {
-        if matches!(standing, Standing::Quarantined { .. }) {
+    fn keeps_away(&self, standing: RequestStatus, suspect: bool) -> Option<&'static str> {
+        if matches!(standing, RequestStatus::Quarantined { .. }) {
             return Some("quarantined");
         }
         let another = suspect && self.jobs.values().any(|job| job.suspect);
--- a/crates/sidecar/src/jobs/crash.rs
+++ b/crates/sidecar/src/jobs/crash.rs
@@ -99,7 +99,7 @@
         // Under its id alone, a second end would be taken for the first, told twice.
         self.poison.upstream_ended(&instance.name(), &running, now);
         // Its peers must not take it for idle: it refuses at once, and would be tried first.
-        self.instance_changed |= self.gate.ended(&instance.id);
+        self.instance_changed |= self.gate.on_crash(&instance.id);
         self.crash.ended_instance = Some(instance);
     }
 
--- a/crates/sidecar/src/jobs/endings.rs
+++ b/crates/sidecar/src/jobs/endings.rs
@@ -82,7 +82,7 @@
             self.egress.note_answer(job.egress_kind(), bytes, spent_ms);
         }
         if matches!(job.source, Source::Peer { .. }) {
-            self.egress.note_leaving(bytes);
+            self.egress.note_sent(bytes);
         }
     }
 
--- a/crates/sidecar/src/jobs/mod.rs
+++ b/crates/sidecar/src/jobs/mod.rs
@@ -23,8 +23,8 @@
 use crate::transit::TransitTimes;
 use crate::Millis;
 use admission::{
-    Admission, ColdRate, DrainGate, EgressBook, EgressKind, FailureShare, GateState, JobId,
-    LinkRoom, Pace, TakenSlots,
+    Admission, ColdRate, DrainGate, EgressClass, EgressReservations, FailureRate, GateState, JobId,
+    LinkState, Pace, UntrackedSlots,
 };
 use http1::{Answer, ExchangeError, Request, Response, Slot};
 use mesh::{
@@ -143,8 +143,8 @@
 
 impl Job {
     /// What tells the answers of its like apart.
-    fn egress_kind(&self) -> EgressKind {
-        EgressKind { rank: self.class.rank, target_ms: u64::from(self.class.target_ms) }
+    fn egress_kind(&self) -> EgressClass {
+        EgressClass { rank: self.class.rank, target_ms: u64::from(self.class.target_ms) }
     }
 
     fn spent_ms(&self, now: Millis) -> u64 {
@@ -162,19 +162,19 @@
     pub gate: DrainGate,
     admission: Admission,
     offers: Offers,
-    egress: EgressBook,
+    egress: EgressReservations,
     link_refusals: u64,
     cold_refusals: u64,
     transits: TransitTimes,
     trial: Trial,
     crash: CrashWatch,
     poison: PoisonWatch,
-    failures: FailureShare,
+    failures: FailureRate,
     failures_of: Option<Incarnation>,
     pace: Pace,
     /// Most calls that the upstream is given at once.
     slots_used: u32,
-    taken: TakenSlots,
+    taken: UntrackedSlots,
     /// Whether the incarnation that was registered last is found not to be there, and nobody was
     /// told.
     instance_changed: bool,
@@ -211,18 +211,18 @@
             gate: DrainGate::new(drain_ms),
             admission: Admission::new(UNKNOWN_SLOTS),
             offers: Offers::new(link_bytes_per_ms),
-            egress: EgressBook::default(),
+            egress: EgressReservations::default(),
             link_refusals: 0,
             cold_refusals: 0,
             transits: TransitTimes::default(),
             trial: Trial::default(),
             crash: CrashWatch::default(),
             poison: PoisonWatch::new(NOBODY),
-            failures: FailureShare::default(),
+            failures: FailureRate::default(),
             failures_of: None,
             pace: Pace::default(),
             slots_used: UNKNOWN_SLOTS,
-            taken: TakenSlots::default(),
+            taken: UntrackedSlots::default(),
             instance_changed: false,
             evacuated: false,
             link_percent: 0,
@@ -271,14 +271,14 @@
     }
 
     /// Takes in the room of this machine's outgoing link.
-    pub fn set_link_room(&mut self, room: LinkRoom) {
-        self.egress.set_room(room);
+    pub fn set_link_room(&mut self, room: LinkState) {
+        self.egress.set_link_state(room);
     }
 
     /// Takes in what the upstream told of its load with an answer.
     pub fn note_told(&mut self, told: ToldLoad, now: Millis) {
         if let Some(percent) = told.pace_percent {
-            self.pace.note_figure(percent, now);
+            self.pace.note_reported(percent, now);
         }
         let all = told.running.saturating_add(told.waiting);
         self.taken.note(all, self.admission.running(), now);
@@ -287,7 +287,7 @@
 
     /// Gives the upstream no more than it has slots for beside what it works on unknown to this side.
     fn mind_taken(&mut self, now: Millis) {
-        let limit = self.taken.left_of(self.slots_used, now);
+        let limit = self.taken.available_of(self.slots_used, now);
         if limit != self.admission.limit() {
             info!(
                 limit,
@@ -330,8 +330,10 @@
             return;
         };
         match outcome {
-            HopOutcome::Answered => self.gate.confirmed(id),
-            HopOutcome::Rejected if status == WRONG_INSTANCE_STATUS && self.gate.denied(id) => {
+            HopOutcome::Answered => self.gate.on_confirmed(id),
+            HopOutcome::Rejected
+                if status == WRONG_INSTANCE_STATUS && self.gate.on_wrong_instance(id) =>
+            {
                 warn!(instance = %id, now = ?self.gate.id(), "instance_denied");
                 self.instance_changed = true;
             }
@@ -404,7 +406,7 @@
             egress_bytes_per_ms: self.egress.bytes_per_ms() as u32,
             link_full: false,
             pace_percent: self.pace.percent(now),
-            told_pace_percent: self.pace.told_percent(now),
+            told_pace_percent: self.pace.reported_percent(now),
         }
     }
 
@@ -482,7 +484,7 @@
 
     fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
-        self.egress.end(id);
+        self.egress.release(id);
         self.by_source.remove(&job.source);
         if job.started.is_some() {
             self.forget_work(&job.attempt_id);
--- a/crates/sidecar/src/jobs/offers.rs
+++ b/crates/sidecar/src/jobs/offers.rs
@@ -7,7 +7,7 @@
 use super::{JobAction, Jobs, Refusal, Source};
 use crate::net::ConnectionId;
 use crate::Millis;
-use admission::{Grant, Ticket, Transfer, TransferId, Transfers};
+use admission::{Grant, SlotRequest, Transfer, TransferId, Transfers};
 use http1::Slot;
 use mesh::HopRequest;
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
         let deadline = now + hop.deadline_ms.saturating_sub(waited_ms);
         // Whose it is comes with its head, once it is here.
         let tenant = None;
-        let ticket = Ticket { job: 0, begun, rank, tenant, target_ms, patience_ms, deadline };
+        let ticket = SlotRequest { job: 0, begun, rank, tenant, target_ms, patience_ms, deadline };
         if let Err(retry_after_ms) = self.admission.check_room(ticket, now) {
             return Some(("no_room", retry_after_ms));
         }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -99,7 +99,7 @@
             ("sent_bytes_calls", "To peers, calls", |s| s.sent_bytes.calls as i64),
             ("sent_bytes_answers", "To peers, answers", |s| s.sent_bytes.answers as i64),
             ("sent_bytes_control", "To coordinators", |s| s.sent_bytes.control as i64),
-            ("link_bytes_at_once", "Small messages' bytes", |s| s.sent.bytes_at_once as i64),
+            ("link_bytes_at_once", "Small messages' bytes", |s| s.sent.bytes_unpaced as i64),
             ("link_bytes_paced", "Large messages' bytes", |s| s.sent.bytes_paced as i64),
             ("link_messages_paced", "Messages that waited", |s| s.sent.messages_paced as i64),
             ("link_waited_ms", "Their wait together", |s| s.sent.waited_ms as i64),
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -46,7 +46,7 @@
             ended: false,
             lingering: None,
             remote,
-            urgency: SendUrgency { unhurried: true, ..SendUrgency::default() },
+            urgency: SendUrgency { deferrable: true, ..SendUrgency::default() },
             used_for: LinkUse::default(),
         }
     }
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -5,7 +5,7 @@
 
 pub use usage::{LinkUse, Passed, SentBytes};
 
-use admission::{LinkRoom, Pacer, PacerCounts, SendUrgency};
+use admission::{LinkState, Pacer, PacerCounts, SendUrgency};
 use bytes::BytesMut;
 use connection::Connection;
 use http1::StreamEnd;
@@ -204,17 +204,17 @@
         self.passed.sent += bytes.len();
         self.sent_bytes.note(used_for, bytes.len());
         let now_ms = self.now_ms();
-        if self.pacer.holds(id) {
+        if self.pacer.is_waiting(id) {
             self.pacer.push(id, bytes.len(), urgency, now_ms);
             return;
         }
-        if !self.pacer.goes_at_once(bytes.len(), urgency) {
+        if !self.pacer.bypasses_pacing(bytes.len(), urgency) {
             // With what the socket did not take of an earlier message, which goes first.
             self.pacer.push(id, unsent, urgency, now_ms);
             self.pump();
             return;
         }
-        self.pacer.note_at_once(bytes.len(), now_ms);
+        self.pacer.note_unpaced(bytes.len(), now_ms);
         if let Some(connection) = self.get_mut(id) {
             connection.flush();
         }
@@ -230,10 +230,10 @@
             };
             let taken = connection.write_piece(piece.bytes);
             if taken > 0 {
-                self.pacer.handed_over(piece.key, taken, now_ms);
+                self.pacer.note_written(piece.key, taken, now_ms);
             }
             if taken < piece.bytes {
-                self.pacer.hold_up(piece.key, now_ms);
+                self.pacer.note_blocked(piece.key, now_ms);
             }
             self.end_if_finished(piece.key);
         }
@@ -259,9 +259,9 @@
     }
 
     /// Room of this machine's outgoing link.
-    pub fn link_room(&self) -> LinkRoom {
-        LinkRoom {
-            bytes_per_ms: self.pacer.left_bytes_per_ms(self.now_ms()),
+    pub fn link_room(&self) -> LinkState {
+        LinkState {
+            bytes_per_ms: self.pacer.available_bytes_per_ms(self.now_ms()),
             waiting_bytes: self.pacer.bytes(),
         }
     }
@@ -298,7 +298,7 @@
         };
         connection.lingering = Some(BootInstant::now());
         connection.input = BytesMut::new();
-        if !self.pacer.holds(id) {
+        if !self.pacer.is_waiting(id) {
             if let Some(connection) = self.get_mut(id) {
                 connection.flush();
             }
@@ -311,7 +311,7 @@
         // What waits for the link is no sign of a peer that does not read.
         let late = |place: usize, connection: &Connection| {
             let id = ConnectionId { place, generation: connection.generation };
-            let waits = self.pacer.holds(id) && !connection.ended;
+            let waits = self.pacer.is_waiting(id) && !connection.ended;
             !waits && connection.lingering.is_some_and(|since| since.elapsed() > longest)
         };
         let of = |(place, connection): (usize, &Connection)| ConnectionId {
@@ -415,8 +415,8 @@
     }
 
     fn on_writable(&mut self, id: ConnectionId) {
-        if self.pacer.holds(id) {
-            self.pacer.let_go(id);
+        if self.pacer.is_waiting(id) {
+            self.pacer.note_writable(id);
             self.pump();
             return;
         }
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -9,7 +9,9 @@
     CrashId, CrashReport, Fingerprint, HopReply, NodeAddress, PoisonNews, PoisonNotice,
     QuarantineEntry,
 };
-use quarantine::{Quarantine, RecentRuns, RequestIdentity, Standing, Verdict, CRASH_MEMORY_MS};
+use quarantine::{
+    Quarantine, RecentSuccesses, RequestIdentity, RequestStatus, Verdict, CRASH_RETENTION_MS,
+};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -36,7 +38,7 @@
     /// This sidecar.
     own: NodeAddress,
     quarantine: Quarantine,
-    recent: RecentRuns,
+    recent: RecentSuccesses,
     /// Ends of the upstream beside this sidecar, and when; for coordinators that did not hear of
     /// them or forgot.
     own_reports: VecDeque<(Millis, CrashReport)>,
@@ -51,7 +53,7 @@
 impl PoisonWatch {
     /// Nothing known yet, at this sidecar.
     pub fn new(own: NodeAddress) -> Self {
-        let (quarantine, recent) = (Quarantine::default(), RecentRuns::default());
+        let (quarantine, recent) = (Quarantine::default(), RecentSuccesses::default());
         let own_reports = VecDeque::new();
         let untold = Vec::new();
         let known = Known { own, quarantine, recent, own_reports, untold };
@@ -59,18 +61,18 @@
     }
 
     /// How a request stands; it is looked at only while anything is known against any.
-    pub fn standing(&self, service: &str, request: &Request, now: Millis) -> Standing {
+    pub fn standing(&self, service: &str, request: &Request, now: Millis) -> RequestStatus {
         let known = self.0.borrow();
         match known.quarantine.is_empty() {
-            true => Standing::Clear,
-            false => known.quarantine.standing(fingerprint(service, request), now),
+            true => RequestStatus::Clear,
+            false => known.quarantine.status(fingerprint(service, request), now),
         }
     }
 
     /// Takes in that the upstream beside this sidecar ended, with what it worked on.
     pub fn upstream_ended(&self, instance: &str, running: &[Fingerprint], now: Millis) {
         let mut known = self.0.borrow_mut();
-        let trusted = |fingerprint: &Fingerprint| known.recent.speak_for(*fingerprint, now);
+        let trusted = |fingerprint: &Fingerprint| known.recent.contains(*fingerprint, now);
         let suspects = running.iter().copied().filter(|fingerprint| !trusted(fingerprint));
         let report = CrashReport {
             node: known.own,
@@ -142,7 +144,7 @@
         let mut known = self.0.borrow_mut();
         let taken = known.quarantine.note_quarantined(&entry, now);
         info!(%fingerprint, left_ms, taken, "quarantine_learned");
-        matches!(known.quarantine.standing(fingerprint, now), Standing::Quarantined { .. })
+        matches!(known.quarantine.status(fingerprint, now), RequestStatus::Quarantined { .. })
     }
 
     /// What coordinators are to be told now.
@@ -172,7 +174,7 @@
     pub fn expire(&self, now: Millis) {
         let mut known = self.0.borrow_mut();
         known.quarantine.expire(now);
-        let old = |(at, _): &(Millis, CrashReport)| at + CRASH_MEMORY_MS <= now;
+        let old = |(at, _): &(Millis, CrashReport)| at + CRASH_RETENTION_MS <= now;
         while known.own_reports.front().is_some_and(old) {
             known.own_reports.pop_front();
         }
@@ -199,7 +201,7 @@
     /// A report with the requests that are still suspects or in quarantine, if there are any.
     fn still_suspected(&self, report: &CrashReport, now: Millis) -> Option<CrashReport> {
         let held = |fingerprint: &Fingerprint| {
-            self.quarantine.standing(*fingerprint, now) != Standing::Clear
+            self.quarantine.status(*fingerprint, now) != RequestStatus::Clear
         };
         let running: Vec<Fingerprint> = report.running.iter().copied().filter(held).collect();
         (!running.is_empty()).then(|| CrashReport { running, ..report.clone() })
@@ -208,7 +210,7 @@
     /// Clears those that ran well at this node's upstream a moment ago.
     fn speak_for(&mut self, running: &[Fingerprint], now: Millis) {
         for fingerprint in running {
-            if self.recent.speak_for(*fingerprint, now) {
+            if self.recent.contains(*fingerprint, now) {
                 self.clear(*fingerprint, now);
             }
         }
--- a/crates/sidecar/src/runtime/dispatch.rs
+++ b/crates/sidecar/src/runtime/dispatch.rs
@@ -348,5 +348,5 @@
 
 /// The place of a call's answer among what waits for the link.
 fn send_urgency(hop: &HopRequest) -> SendUrgency {
-    SendUrgency { unhurried: !hop.begun, rank: hop.rank, target_ms: hop.target_ms }
+    SendUrgency { deferrable: !hop.begun, rank: hop.rank, target_ms: hop.target_ms }
 }
--- a/crates/sidecar/src/runtime/registration.rs
+++ b/crates/sidecar/src/runtime/registration.rs
@@ -74,7 +74,7 @@
                 self.heartbeat(&record, sequence, now)
             }
             RegistrationCall::Leave { incarnation } => {
-                if self.jobs.gate.left(&incarnation, now) {
+                if self.jobs.gate.on_leave(&incarnation, now) {
                     info!(instance = %incarnation.id, state = "left", "endpoint_state");
                     self.report_instance(now);
                 }
@@ -98,7 +98,7 @@
         now: Millis,
     ) -> bool {
         let record = &self.config.bounded_cold(record, &self.settings.service);
-        if self.jobs.gate.told(record, sequence, now) {
+        if self.jobs.gate.on_report(record, sequence, now) {
             let state = record.state.as_str();
             info!(
                 instance = %record.id, born_ms = record.born_ms, state, sequence, slots = record.slots,
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -51,7 +51,7 @@
             born_ms,
             version: String::new(),
         };
-        self.jobs.gate.told(&record, sequence, 0);
+        self.jobs.gate.on_report(&record, sequence, 0);
         self.jobs.refresh_limit(0);
     }
 
--- a/crates/sidecar/tests/decision_log.rs
+++ b/crates/sidecar/tests/decision_log.rs
@@ -148,7 +148,7 @@
         born_ms: 0,
         version: String::new(),
     };
-    jobs.gate.told(&record, 1, 0);
+    jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
     lines_of(|| story(&mut jobs)).join("\n")
 }
--- a/crates/sidecar/tests/egress.rs
+++ b/crates/sidecar/tests/egress.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use admission::{LinkRoom, SendUrgency};
+use admission::{LinkState, SendUrgency};
 use common::{NAMES, SERVICE};
 use http1::{Answer, Headers, Request, Response};
 use mesh::{HopOutcome, HopReply, HopRequest, InstanceRecord, InstanceState};
@@ -22,7 +22,7 @@
 const WIDE_LINK: f64 = 100_000.0;
 const LARGE_BYTES: usize = 40_000;
 const MOST_TURNS: usize = 20_000;
-const LARGE: SendUrgency = SendUrgency { unhurried: true, rank: 1, target_ms: 1_500 };
+const LARGE: SendUrgency = SendUrgency { deferrable: true, rank: 1, target_ms: 1_500 };
 
 /// Connections of one process over a thin link, with the other ends of them.
 struct Sockets {
@@ -186,9 +186,9 @@
 const ANSWER_BYTES: usize = 90_000;
 const RUN_MS: u64 = 140;
 /// A link of 16 Mbit/s, of which nothing waits.
-const ROOM: LinkRoom = LinkRoom { bytes_per_ms: Some(2_000.0), waiting_bytes: 0 };
+const ROOM: LinkState = LinkState { bytes_per_ms: Some(2_000.0), waiting_bytes: 0 };
 
-fn jobs(room: LinkRoom) -> Jobs {
+fn jobs(room: LinkState) -> Jobs {
     let metrics = JobMetrics::new(&Registry::default());
     let mut jobs = Jobs::new(NAMES, SERVICE, DRAIN_MS, None, LogSample::new(1), metrics);
     let record = InstanceRecord {
@@ -199,7 +199,7 @@
         born_ms: 0,
         version: String::new(),
     };
-    jobs.gate.told(&record, 1, 0);
+    jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
     jobs.set_link_room(room);
     jobs
@@ -255,7 +255,7 @@
 }
 
 /// A sidecar that has seen one call answered with so many bytes.
-fn taught(room: LinkRoom, bytes: usize) -> Jobs {
+fn taught(room: LinkState, bytes: usize) -> Jobs {
     let mut jobs = jobs(room);
     let job = run(&begin(&mut jobs, peer(0), &hop(), 0)).expect("it is let in");
     end(&mut jobs, job, bytes, RUN_MS);
@@ -283,7 +283,7 @@
 
 #[test]
 fn what_needs_no_link_or_is_waited_for_by_a_begun_run_is_let_in() {
-    let mut jobs = taught(LinkRoom { waiting_bytes: 2_000_000, ..ROOM }, ANSWER_BYTES);
+    let mut jobs = taught(LinkState { waiting_bytes: 2_000_000, ..ROOM }, ANSWER_BYTES);
     assert!(refusal(&begin(&mut jobs, peer(1), &hop(), 1_000)).is_some());
     let beside = Source::Local(Attempt { call: 1, number: 1 });
     assert!(run(&begin(&mut jobs, beside, &hop(), 1_000)).is_some());
@@ -293,7 +293,7 @@
     let small = HopRequest { target_ms: 200, ..hop() };
     let job = run(&begin(&mut jobs, peer(3), &small, 1_000)).expect("nothing is known of it");
     end(&mut jobs, job, 700, 1_050);
-    jobs.set_link_room(LinkRoom { waiting_bytes: 2_000_000, ..ROOM });
+    jobs.set_link_room(LinkState { waiting_bytes: 2_000_000, ..ROOM });
     assert!(run(&begin(&mut jobs, peer(4), &small, 1_100)).is_some());
 }
 
@@ -314,7 +314,7 @@
 
 #[test]
 fn an_unknown_link_refuses_nothing() {
-    let mut jobs = taught(LinkRoom::default(), 10 * ANSWER_BYTES);
+    let mut jobs = taught(LinkState::default(), 10 * ANSWER_BYTES);
     for slot in 1..=u64::from(SLOTS) {
         assert!(run(&begin(&mut jobs, peer(slot), &hop(), 1_000)).is_some(), "{slot}");
     }
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -36,7 +36,7 @@
         LogSample::new(1),
         JobMetrics::new(&Registry::default()),
     );
-    jobs.gate.told(&record("i-1", InstanceState::Ready), 1, 0);
+    jobs.gate.on_report(&record("i-1", InstanceState::Ready), 1, 0);
     jobs.refresh_limit(0);
     jobs.set_cold_rate(None, 0);
     jobs
@@ -118,7 +118,7 @@
     let first = begin(&mut jobs, 1, 0);
     begin(&mut jobs, 2, 0);
     assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
-    jobs.gate.told(&record("i-1", InstanceState::Draining), 2, 10);
+    jobs.gate.on_report(&record("i-1", InstanceState::Draining), 2, 10);
     let (first, _) = started(&first).expect("runs");
     let answer = Answer { response: sealed(200), reusable: true };
     let late = DRAIN_MS;
@@ -271,7 +271,7 @@
         ]
     "#]]
     .assert_debug_eq(&told);
-    jobs.gate.told(&record("i-2", InstanceState::Ready), 1, 60);
+    jobs.gate.on_report(&record("i-2", InstanceState::Ready), 1, 60);
     jobs.refresh_limit(0);
     let refused = jobs.begin(source(99), request(), &hop("another", None), 60);
     assert_eq!(failing(&refused), Some(0));
@@ -281,7 +281,7 @@
 fn an_upstream_that_is_another_than_registered_last_is_found_out_by_its_answer() {
     let mut jobs = jobs();
     // A heartbeat that was held up, of one that ended before i-1 began.
-    jobs.gate.told(&record("i-0", InstanceState::Ready), 4, 50);
+    jobs.gate.on_report(&record("i-0", InstanceState::Ready), 4, 50);
     let actions = jobs.begin(source(1), request(), &hop(SERVICE, None), 100);
     let (job, request) = started(&actions).expect("it runs");
     assert_eq!(request.headers.text(NAMES.expect_instance), Some("i-0"));
@@ -399,7 +399,7 @@
     }
     assert_eq!(seen, [0, 120, 120, 120, 300]);
     // Another incarnation is another upstream.
-    jobs.gate.told(&record("i-2", InstanceState::Ready), 2, 100);
+    jobs.gate.on_report(&record("i-2", InstanceState::Ready), 2, 100);
     jobs.refresh_limit(0);
     assert_eq!(jobs.told_load(100).pace_percent, 0);
 }
@@ -431,7 +431,7 @@
     assert!(started(&begin(&mut jobs, 1, 5_000)).is_some());
     assert!(begin(&mut jobs, 2, 5_001).is_empty(), "a slot is free, and it is taken for cold");
     // Its next beat says that it is warm.
-    jobs.gate.told(&record("i-1", InstanceState::Ready), 9, 5_050);
+    jobs.gate.on_report(&record("i-1", InstanceState::Ready), 9, 5_050);
     jobs.refresh_cold();
     assert!(started(&jobs.tick(5_051)).is_some());
 }
@@ -441,7 +441,7 @@
     let mut jobs = jobs();
     jobs.set_cold_rate(Some(ColdRate { per_s: 1.0, burst: 0.0 }), 0);
     let cold = InstanceRecord { cold_remaining_ms: 3_000, ..record("i-1", InstanceState::Ready) };
-    jobs.gate.told(&cold, 2, 0);
+    jobs.gate.on_report(&cold, 2, 0);
     jobs.refresh_cold();
     assert!(started(&begin(&mut jobs, 1, 0)).is_some());
     // A second is longer than it would wait; the time told is when there is room.
@@ -450,7 +450,7 @@
     assert_eq!((reply.outcome, jobs.cold_refusals()), (HopOutcome::Refused, 1));
     assert!((490..=2_990).contains(&reply.retry_after_ms), "{}", reply.retry_after_ms);
     // Its slots are full: that it is cold is not why.
-    jobs.gate.told(&InstanceRecord { cold_remaining_ms: 0, ..cold }, 3, 20);
+    jobs.gate.on_report(&InstanceRecord { cold_remaining_ms: 0, ..cold }, 3, 20);
     jobs.refresh_cold();
     begin(&mut jobs, 3, 20);
     assert_eq!(outcomes(&begin(&mut jobs, 4, 20)).len(), 0, "it waits");
--- a/crates/sidecar/tests/offers.rs
+++ b/crates/sidecar/tests/offers.rs
@@ -27,7 +27,7 @@
     fn new() -> Self {
         let metrics = JobMetrics::new(&Registry::default());
         let mut jobs = Jobs::new(NAMES, SERVICE, DRAIN_MS, LINK, LogSample::new(1), metrics);
-        jobs.gate.told(&record(InstanceState::Ready), 1, 0);
+        jobs.gate.on_report(&record(InstanceState::Ready), 1, 0);
         jobs.refresh_limit(0);
         Inbound { jobs, seen: String::new() }
     }
@@ -206,7 +206,7 @@
 fn an_upstream_that_left_meanwhile_gets_no_call() {
     let mut inbound = Inbound::new();
     inbound.offer(1, 0);
-    inbound.jobs.gate.told(&record(InstanceState::Draining), 2, 10);
+    inbound.jobs.gate.on_report(&record(InstanceState::Draining), 2, 10);
     inbound.whole(1, 10 + DRAIN_MS);
     inbound.offer(2, 20 + DRAIN_MS);
     inbound.check(expect![[r#"
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -2,7 +2,7 @@
 
 use http1::{Headers, Request};
 use mesh::{Fingerprint, HopReply, NodeAddress, PoisonNotice};
-use quarantine::{NoticeBoard, RequestIdentity, Standing};
+use quarantine::{NoticeLog, RequestIdentity, RequestStatus};
 use sidecar::PoisonWatch;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -69,7 +69,7 @@
     down: BTreeMap<(Node, Node), u64>,
     next_number: u64,
     watches: Vec<PoisonWatch>,
-    boards: Vec<NoticeBoard>,
+    boards: Vec<NoticeLog>,
     upstreams: Vec<Upstream>,
     /// Which coordinators a sidecar is linked to; the first that is there tells it of others.
     linked: Vec<Vec<usize>>,
@@ -126,7 +126,7 @@
             down: BTreeMap::new(),
             next_number: 1,
             watches: (0..SIDECARS).map(|sidecar| PoisonWatch::new(address(sidecar))).collect(),
-            boards: (0..COORDINATORS).map(|_| NoticeBoard::default()).collect(),
+            boards: (0..COORDINATORS).map(|_| NoticeLog::default()).collect(),
             upstreams: (0..SIDECARS).map(|_| Upstream { starts: 1, back_at: 0 }).collect(),
             linked,
             subscribed: vec![None; SIDECARS],
@@ -206,7 +206,7 @@
 
     /// Whether it is cleared: no coordinator lists it, or a second one has the clearing.
     fn clear_once(&mut self) -> bool {
-        let clears = |board: &mut NoticeBoard| board.clear(poison(), self.now);
+        let clears = |board: &mut NoticeLog| board.clear(poison(), self.now);
         let Some(coordinator) = self.boards.iter_mut().position(clears) else {
             return true;
         };
@@ -215,7 +215,7 @@
         let end = self.now + FOUND_OUT_MS;
         while self.restarts[coordinator] == restarts {
             assert!(self.now < end, "no other coordinator has the clearing");
-            if !self.boards[coordinator].is_held_here_only(poison()) {
+            if !self.boards[coordinator].awaits_replication(poison()) {
                 return true;
             }
             self.step();
@@ -233,8 +233,8 @@
 
     fn left_ms(&self, sidecar: usize) -> Option<u64> {
         match self.watches[sidecar].standing(SERVICE, &request(), self.now) {
-            Standing::Quarantined { left_ms } => Some(left_ms),
-            Standing::Suspect | Standing::Clear => None,
+            RequestStatus::Quarantined { left_ms } => Some(left_ms),
+            RequestStatus::Suspect | RequestStatus::Clear => None,
         }
     }
 
@@ -365,7 +365,8 @@
                     let here = matches!(frame.from, Node::Sidecar(_));
                     for notice in frame.notices {
                         let (age_ms, news) = (notice.age_ms, notice.news.clone());
-                        let taken = self.boards[coordinator].take(notice, here, self.now).is_some();
+                        let taken =
+                            self.boards[coordinator].apply(notice, here, self.now).is_some();
                         let at_ms = self.now;
                         info!(at_ms, coordinator, from = ?frame.from, age_ms, ?news, taken, "told");
                     }
@@ -399,7 +400,7 @@
             for to in (0..COORDINATORS).filter(|to| *to != from) {
                 let ends = (Node::Coordinator(from), Node::Coordinator(to));
                 let notices = match self.told.get(&ends) {
-                    Some(position) => self.boards[from].told_since(*position, self.now),
+                    Some(position) => self.boards[from].forwarded_since(*position, self.now),
                     None => self.boards[from].all(self.now),
                 };
                 self.told.insert(ends, self.boards[from].position());
@@ -456,7 +457,7 @@
             self.close(Node::Sidecar(sidecar), coordinator, until);
         }
         let Node::Coordinator(index) = coordinator else { return };
-        self.boards[index] = NoticeBoard::default();
+        self.boards[index] = NoticeLog::default();
         self.restarts[index] += 1;
         self.told.retain(|(from, _), _| *from != coordinator);
     }
--- a/crates/sidecar/tests/poison_news.rs
+++ b/crates/sidecar/tests/poison_news.rs
@@ -18,7 +18,7 @@
 //! come in any order, late or again. Clearings are remembered, told with each new link and connection, and
 //! an operator is answered once a second coordinator has his.
 //!
-//! A fleet in virtual time over the real cores (`PoisonWatch`, `NoticeBoard`). Frames of one
+//! A fleet in virtual time over the real cores (`PoisonWatch`, `NoticeLog`). Frames of one
 //! connection come in order and late; a connection that ends loses those under way. Coordinators
 //! start anew and are cut off from each other, just while a request is cleared.
 
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -377,7 +377,7 @@
         born_ms: 0,
         version: String::new(),
     };
-    jobs.gate.told(&record, 1, world.now);
+    jobs.gate.on_report(&record, 1, world.now);
     jobs.refresh_limit(0);
     let source = Source::Peer { connection: world.connection(), slot: 1 };
     let started = jobs.begin(source, Rc::new(request), &hop, world.now);
@@ -483,7 +483,7 @@
         born_ms: 0,
         version: String::new(),
     };
-    jobs.gate.told(&record, 1, 0);
+    jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
     let mut world = World::with_tenants(1);
     let hop = hop(&world.begin_with_key("/safe/1", KEY)).expect("placed");
--- a/crates/sidecar/tests/transit.rs
+++ b/crates/sidecar/tests/transit.rs
@@ -77,7 +77,7 @@
         born_ms: 0,
         version: String::new(),
     };
-    jobs.gate.told(&record, 1, 0);
+    jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
     assert_eq!(seen(&begin(&mut jobs, 0, 1_000, 0, 2)), "runs, 1000 ms left");
     jobs
--- a/crates/sidecar/tests/trial.rs
+++ b/crates/sidecar/tests/trial.rs
@@ -26,7 +26,7 @@
         cold_remaining_ms: COLD_MS,
         born_ms: 0,
     };
-    jobs.gate.told(&record, 1, 0);
+    jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
     jobs.set_cold_rate(None, 0);
     jobs
