--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -9,7 +9,7 @@
 //! id, and then knows nothing of before, its sequence begins anew, and no end of before binds it.
 
 use crate::Millis;
-use mesh::{Incarnation, InstanceRecord, InstanceState, MOST_VERSION_BYTES};
+use mesh::{Incarnation, InstanceRecord, InstanceState, MAX_VERSION_BYTES};
 use std::collections::VecDeque;
 
 /// Part of the drain time during which the gate stays open for calls already on their way.
@@ -82,7 +82,8 @@
         if self.is_retired(&incarnation) {
             return false;
         }
-        let known = self.current.as_ref().is_some_and(|held| held.incarnation.may_be(&incarnation));
+        let known =
+            self.current.as_ref().is_some_and(|held| held.incarnation.may_equal(&incarnation));
         if !known {
             if self.is_late(record) {
                 return false;
@@ -113,7 +114,7 @@
     }
 
     fn is_retired(&self, incarnation: &Incarnation) -> bool {
-        self.retired.iter().any(|retired| retired.may_be(incarnation))
+        self.retired.iter().any(|retired| retired.may_equal(incarnation))
     }
 
     /// Whether the first that is heard of an incarnation is its end, while another one serves: it
@@ -121,7 +122,11 @@
     /// start under the id of the one that is there.
     fn is_late(&self, record: &InstanceRecord) -> bool {
         let incarnation = record.incarnation();
-        if self.current.as_ref().is_some_and(|current| current.incarnation.succeeds(&incarnation)) {
+        if self
+            .current
+            .as_ref()
+            .is_some_and(|current| current.incarnation.is_restart_of(&incarnation))
+        {
             return true;
         }
         let serves = self.current.as_ref().is_some_and(|current| current.open_until.is_none());
@@ -183,7 +188,7 @@
 
     fn replace(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) {
         let incarnation = record.incarnation();
-        if let Some(ended) = self.ended.take().filter(|ended| !ended.may_be(&incarnation)) {
+        if let Some(ended) = self.ended.take().filter(|ended| !ended.may_equal(&incarnation)) {
             self.forget(ended);
         }
         if let Some(replaced) = self.current.take() {
@@ -204,7 +209,7 @@
     }
 
     fn advance(&mut self, of: &Incarnation, state: InstanceState, now: Millis) -> bool {
-        let is_it = |current: &&mut Current| current.incarnation.may_be(of);
+        let is_it = |current: &&mut Current| current.incarnation.may_equal(of);
         let Some(current) = self.current.as_mut().filter(is_it) else {
             return false;
         };
@@ -218,7 +223,7 @@
     }
 
     fn close_now(&mut self, of: &Incarnation) {
-        let is_it = |current: &&mut Current| current.incarnation.may_be(of);
+        let is_it = |current: &&mut Current| current.incarnation.may_equal(of);
         if let Some(current) = self.current.as_mut().filter(is_it) {
             current.open_until = Some(0);
         }
@@ -281,7 +286,7 @@
 
 /// A version's name, cut where it is longer than any that can be ordered: every node keeps it.
 fn bounded(version: &str) -> String {
-    let longest = version.len().min(MOST_VERSION_BYTES);
+    let longest = version.len().min(MAX_VERSION_BYTES);
     let end = (0..=longest).rev().find(|end| version.is_char_boundary(*end));
     version[..end.unwrap_or(0)].to_owned()
 }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -1,7 +1,7 @@
 //! Which incarnation is beside a sidecar, and how its end is remembered.
 
 use admission::{DrainGate, GateState};
-use mesh::{Incarnation, InstanceRecord, InstanceState, MOST_VERSION_BYTES};
+use mesh::{Incarnation, InstanceRecord, InstanceState, MAX_VERSION_BYTES};
 
 const DRAIN_MS: u64 = 2_000;
 
@@ -94,7 +94,7 @@
         InstanceRecord { version: "é".repeat(1_000_000), ..record("i-1", InstanceState::Ready) };
     gate.told(&long, 1, 0);
     let kept = gate.version().map(str::len);
-    assert!(kept.is_some_and(|bytes| bytes <= MOST_VERSION_BYTES), "{kept:?}");
+    assert!(kept.is_some_and(|bytes| bytes <= MAX_VERSION_BYTES), "{kept:?}");
     gate.told(&InstanceRecord { version: "v2".to_owned(), ..long }, 2, 10);
     assert_ne!(gate.version(), Some("v2"), "an incarnation does not change its software");
 }
--- a/crates/chutecove/tests/fleet/hollow.rs
+++ b/crates/chutecove/tests/fleet/hollow.rs
@@ -42,7 +42,7 @@
         let [high, low] = number.to_be_bytes();
         let record = NodeRecord {
             address: NodeAddress { ip: Ipv4Addr::new(10, 9, high, low), port: 1 },
-            life: 1,
+            boot_id: 1,
             sequence: 1,
             zone: "a".to_owned(),
             service: service.to_owned(),
--- a/crates/coordinator/src/canaries.rs
+++ b/crates/coordinator/src/canaries.rs
@@ -218,7 +218,8 @@
                 loads.candidate_slots += slots;
             } else {
                 loads.stable_slots += slots;
-                loads.stable_calls += state.loads.load(&node.address).map_or(0, |load| load.all());
+                loads.stable_calls +=
+                    state.loads.load(&node.address).map_or(0, |load| load.total_calls());
             }
         }
         loads
--- a/crates/coordinator/src/exchange.rs
+++ b/crates/coordinator/src/exchange.rs
@@ -126,7 +126,7 @@
     }
 
     fn beat(&self) -> CoordinatorFrame {
-        CoordinatorFrame::Vouching {
+        CoordinatorFrame::ListHeartbeat {
             member: self.own.0,
             zone: self.zone.clone(),
             epoch: self.epoch,
@@ -141,7 +141,7 @@
         let since = if forgotten { 0 } else { position };
         let newer = self.vouched.values().filter(|vouched| vouched.changed_at > since);
         let dropped = self.dropped.iter().filter(|(at, _)| since > 0 && *at > since);
-        CoordinatorFrame::Vouched {
+        CoordinatorFrame::ListChanges {
             member: self.own.0,
             epoch: self.epoch,
             since,
@@ -159,7 +159,7 @@
         }
         list.asked_at = Some(now);
         let (epoch, position) = (list.epoch, list.position);
-        Some((peer, CoordinatorFrame::WantVouched { member: own, epoch, position }))
+        Some((peer, CoordinatorFrame::ListRequest { member: own, epoch, position }))
     }
 
     /// Takes in a frame of another coordinator; answers, and whether the registry changed.
@@ -170,11 +170,11 @@
         now: Millis,
     ) -> (Vec<Outgoing>, bool) {
         match frame {
-            CoordinatorFrame::Vouching { member, zone: _, epoch, position } => {
+            CoordinatorFrame::ListHeartbeat { member, zone: _, epoch, position } => {
                 let member = MemberId(member);
                 (self.renew_list(registry, member, (epoch, position), now), false)
             }
-            CoordinatorFrame::Vouched { member, epoch, since, position, heard, dropped } => {
+            CoordinatorFrame::ListChanges { member, epoch, since, position, heard, dropped } => {
                 let member = MemberId(member);
                 let list = self.peers.entry(member).or_default();
                 let follows = since == 0 || (list.epoch == epoch && list.position >= since);
@@ -197,17 +197,17 @@
                 let asked = self.ask_records(registry, member, heard, now);
                 (asked.into_iter().collect(), changed)
             }
-            CoordinatorFrame::WantVouched { member, epoch, position } => {
+            CoordinatorFrame::ListRequest { member, epoch, position } => {
                 let known = epoch == self.epoch && position <= self.position;
                 let list = self.list_since(if known { position } else { 0 });
                 self.told.insert(MemberId(member), self.position);
                 (vec![(MemberId(member), list)], false)
             }
-            CoordinatorFrame::WantRecords { member, nodes } => {
+            CoordinatorFrame::RecordsRequest { member, nodes } => {
                 let nodes = registry.heard(&nodes, now);
                 (vouching(member, nodes).into_iter().collect(), false)
             }
-            CoordinatorFrame::Heard { nodes } => {
+            CoordinatorFrame::Records { nodes } => {
                 let mut changed = false;
                 for node in nodes {
                     self.asked.remove(&node.record.address);
@@ -220,7 +220,7 @@
             | CoordinatorFrame::Poison { .. }
             | CoordinatorFrame::Evidence { .. }
             | CoordinatorFrame::CreditPull { .. }
-            | CoordinatorFrame::CreditGift { .. }
+            | CoordinatorFrame::CreditTransfer { .. }
             | CoordinatorFrame::Join { .. }
             | CoordinatorFrame::Removed { .. } => (Vec::new(), false),
         }
@@ -262,7 +262,7 @@
             }
         }
         let any = !nodes.is_empty();
-        any.then_some((of, CoordinatorFrame::WantRecords { member: self.own.0, nodes }))
+        any.then_some((of, CoordinatorFrame::RecordsRequest { member: self.own.0, nodes }))
     }
 
     /// Removes sidecars that stop and that nobody hears any more; true if there were any.
@@ -285,5 +285,5 @@
 
 fn vouching(member: u64, nodes: Vec<HeardNode>) -> Option<Outgoing> {
     let any = !nodes.is_empty();
-    any.then_some((MemberId(member), CoordinatorFrame::Heard { nodes }))
+    any.then_some((MemberId(member), CoordinatorFrame::Records { nodes }))
 }
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -2,7 +2,7 @@
 
 use crate::{LoadBoard, Millis, Registry};
 use canary::Evidence;
-use mesh::{Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry};
+use mesh::{Fingerprint, PoisonEvent, PoisonNotice, QuarantineEntry};
 use mio::Waker;
 use quarantine::{NoticeBoard, Verdict};
 use std::collections::BTreeMap;
@@ -132,12 +132,12 @@
 impl ToldPoison {
     fn of(notice: &PoisonNotice) -> Self {
         let age_ms = notice.age_ms;
-        match &notice.news {
-            PoisonNews::Crash(_) => Self::Crash,
-            PoisonNews::Cleared(clearing) => {
+        match &notice.event {
+            PoisonEvent::Crash(_) => Self::Crash,
+            PoisonEvent::Cleared(clearing) => {
                 Self::Cleared { fingerprint: clearing.fingerprint, age_ms }
             }
-            PoisonNews::Quarantined(QuarantineEntry { fingerprint, left_ms, .. }) => {
+            PoisonEvent::Quarantined(QuarantineEntry { fingerprint, left_ms, .. }) => {
                 Self::Quarantined { fingerprint: *fingerprint, left_ms: *left_ms, age_ms }
             }
         }
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/link.rs
@@ -13,7 +13,7 @@
 use crate::Millis;
 use bundle::{best_update, Digest};
 use mesh::{
-    encode_frame, MemberPlace, NodeAddress, NodeLoad, NodeRecord, ToCoordinator, ToSidecar,
+    encode_frame, MemberLocation, NodeAddress, NodeLoad, NodeRecord, ToCoordinator, ToSidecar,
 };
 use speedy::{LittleEndian, Writable};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) struct Link {
     pub node: NodeAddress,
-    pub life: u64,
+    pub boot_id: u64,
     told: Told,
     subscription: Option<Subscription>,
 }
@@ -78,7 +78,7 @@
 #[derive(Default)]
 pub(crate) struct GroupNews {
     generation: u64,
-    members: Vec<MemberPlace>,
+    members: Vec<MemberLocation>,
     members_revision: u64,
     members_frame: Encoded,
     versions_revision: u64,
@@ -137,13 +137,13 @@
 
     /// Takes in the first report of a sidecar; what it is told at once is added to `output`.
     pub fn open(&mut self, record: NodeRecord, output: &mut Vec<u8>) -> Link {
-        let (node, life) = (record.address, record.life);
+        let (node, life) = (record.address, record.boot_id);
         let last = self.hub.lock().registry.last_record(&node);
-        let last = last.filter(|last| last.life != life);
+        let last = last.filter(|last| last.boot_id != life);
         info!(%node, life, restored = last.is_some(), "sidecar_connected");
         let zone = self.zone.clone();
         encode_frame(&ToSidecar::Welcome { zone, last }, output);
-        let mut link = Link { node, life, told: Told::default(), subscription: None };
+        let mut link = Link { node, boot_id: life, told: Told::default(), subscription: None };
         // Before its upstream is told of: what may be given to it depends on its version and zone.
         self.look_at_group();
         self.tell_group(&mut link, output);
@@ -156,7 +156,7 @@
         let node = link.node;
         match frame {
             ToCoordinator::Report(record) => self.take_report(record, output),
-            ToCoordinator::WantConfig { held } => {
+            ToCoordinator::ConfigRequest { held } => {
                 output.extend_from_slice(&self.config_frame(held));
             }
             ToCoordinator::Subscribe { nodes } => {
@@ -165,9 +165,9 @@
             }
             ToCoordinator::Load(load) => self.hub.lock().loads.told(node, load),
             ToCoordinator::Evidence(told) => {
-                self.group.pass_evidence(node, link.life, &told);
+                self.group.pass_evidence(node, link.boot_id, &told);
                 if let Some(evidence) = self.hub.lock().evidence.get_mut(&told.service) {
-                    evidence.told(node, link.life, &told);
+                    evidence.told(node, link.boot_id, &told);
                 }
             }
             ToCoordinator::Poison { notices } => {
@@ -183,15 +183,15 @@
                 encode_frame(&ToSidecar::Pong { asked_at, generation }, output);
             }
         }
-        self.hub.lock().registry.alive(&node, link.life, self.clock.now_ms());
+        self.hub.lock().registry.alive(&node, link.boot_id, self.clock.now_ms());
     }
 
     /// Notes that a link ended.
     pub fn ended(&self, link: &Link) {
-        if self.hub.lock().registry.disconnected(&link.node, link.life) {
+        if self.hub.lock().registry.disconnected(&link.node, link.boot_id) {
             self.hub.wake();
         }
-        info!(node = %link.node, life = link.life, "sidecar_disconnected");
+        info!(node = %link.node, life = link.boot_id, "sidecar_disconnected");
     }
 
     fn take_report(&self, record: NodeRecord, output: &mut Vec<u8>) {
@@ -203,7 +203,7 @@
             info!(%node, sequence, stopping, instance = ?instance, "node_reported");
             self.hub.wake();
         }
-        encode_frame(&ToSidecar::ReportTaken { sequence }, output);
+        encode_frame(&ToSidecar::ReportAcknowledged { sequence }, output);
     }
 
     /// The newest configuration as an update of what a sidecar holds.
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -118,22 +118,24 @@
                 CoordinatorFrame::Message(message) => self.group.receive(message),
                 CoordinatorFrame::Join { member } => self.group.join(MemberId(member)),
                 CoordinatorFrame::Removed { member } => info!(%peer, member, "removed_from_group"),
-                CoordinatorFrame::Evidence { node, life, told } => {
+                CoordinatorFrame::Evidence { node, boot_id, evidence: told } => {
                     if let Some(evidence) = self.hub.lock().evidence.get_mut(&told.service) {
-                        evidence.told(node, life, &told);
+                        evidence.told(node, boot_id, &told);
                     }
                 }
-                frame @ (CoordinatorFrame::Vouching { .. }
-                | CoordinatorFrame::Vouched { .. }
-                | CoordinatorFrame::WantVouched { .. }
-                | CoordinatorFrame::WantRecords { .. }
-                | CoordinatorFrame::Heard { .. }
+                frame @ (CoordinatorFrame::ListHeartbeat { .. }
+                | CoordinatorFrame::ListChanges { .. }
+                | CoordinatorFrame::ListRequest { .. }
+                | CoordinatorFrame::RecordsRequest { .. }
+                | CoordinatorFrame::Records { .. }
                 | CoordinatorFrame::Loads { .. }
                 | CoordinatorFrame::Poison { .. }) => self.registry_loop.receive(frame),
                 CoordinatorFrame::CreditPull { member, lacks } => {
                     self.quotas.pulled(member, &lacks)
                 }
-                CoordinatorFrame::CreditGift { member, gifts } => self.quotas.given(member, &gifts),
+                CoordinatorFrame::CreditTransfer { member, credits: gifts } => {
+                    self.quotas.given(member, &gifts)
+                }
             }
         }
     }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -8,7 +8,7 @@
 use bundle::{Bundle, Digest};
 use consensus::{Membership, Message};
 use control::{ConfigState, Replica};
-use mesh::{CoordinatorFrame, MemberId, MemberPlace, NodeAddress, VersionEvidence};
+use mesh::{CoordinatorFrame, MemberId, MemberLocation, NodeAddress, VersionEvidence};
 use rollout::{ApprovalPolicy, CanaryRecord, Command, EvacuationRecord, Request, CONTROL_OPERATOR};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -127,10 +127,10 @@
     }
 
     /// All members in force with their zones, as far as they told.
-    pub fn places(&self) -> Vec<MemberPlace> {
+    pub fn places(&self) -> Vec<MemberLocation> {
         let members = self.members();
         let zones = self.zones.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = |member: MemberId| MemberPlace {
+        let place = |member: MemberId| MemberLocation {
             address: member.address(),
             zone: zones.get(&member.address()).cloned().unwrap_or_default(),
         };
@@ -146,11 +146,12 @@
     }
 
     /// Hands what a sidecar told of a canary on to the leader, which judges it.
-    pub fn pass_evidence(&self, node: NodeAddress, life: u64, told: &VersionEvidence) {
+    pub fn pass_evidence(&self, node: NodeAddress, boot_id: u64, told: &VersionEvidence) {
         let leader = self.replica.lock().status.leader.map(MemberId);
         if let Some(leader) = leader.filter(|leader| *leader != self.own) {
             let told = told.clone();
-            self.transport.send(leader, CoordinatorFrame::Evidence { node, life, told });
+            self.transport
+                .send(leader, CoordinatorFrame::Evidence { node, boot_id, evidence: told });
         }
     }
 
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -68,7 +68,7 @@
     pub fn pulled(&self, peer: u64, lacks: &[CreditAmount]) {
         let now = self.clock.now_ms();
         let gifts = self.lock().pools.give(lacks, now);
-        let frame = CoordinatorFrame::CreditGift { member: self.group.own.0, gifts };
+        let frame = CoordinatorFrame::CreditTransfer { member: self.group.own.0, credits: gifts };
         self.transport.send(MemberId(peer), frame);
     }
 
--- a/crates/coordinator/src/registry.rs
+++ b/crates/coordinator/src/registry.rs
@@ -101,7 +101,8 @@
         if let Some(held) = self.nodes.get_mut(&record.address) {
             held.heard_at = now;
             held.heard_directly_at = Some(now);
-            let older = held.record.life == record.life && held.record.sequence >= record.sequence;
+            let older =
+                held.record.boot_id == record.boot_id && held.record.sequence >= record.sequence;
             if older {
                 return false;
             }
@@ -139,7 +140,7 @@
         let unheard_ms = self.unheard_ms();
         let mut heard_directly_at = None;
         if let Some(held) = self.nodes.get_mut(&record.address) {
-            let same_life = held.record.life == record.life;
+            let same_life = held.record.boot_id == record.boot_id;
             let later_here = held.heard_at >= heard_at;
             if !same_life && (later_here || held.is_heard_directly(unheard_ms, now)) {
                 return false;
@@ -178,7 +179,7 @@
         let Some(held) = self.nodes.get(&entry.address) else {
             return true;
         };
-        match held.record.life == entry.life {
+        match held.record.boot_id == entry.boot_id {
             true => held.record.sequence < entry.sequence,
             false => !held.is_heard_directly(self.unheard_ms(), now),
         }
@@ -188,7 +189,7 @@
     pub fn renew(&mut self, entry: &RegistryEntry, now: Millis) {
         let heard_at = now.saturating_sub(self.unheard_ms());
         if let Some(held) = self.nodes.get_mut(&entry.address) {
-            if held.record.life == entry.life {
+            if held.record.boot_id == entry.boot_id {
                 held.heard_at = held.heard_at.max(heard_at);
             }
         }
@@ -219,16 +220,19 @@
     }
 
     /// Notes a sign of life.
-    pub fn alive(&mut self, address: &NodeAddress, life: u64, now: Millis) {
-        if let Some(held) = self.nodes.get_mut(address).filter(|held| held.record.life == life) {
+    pub fn alive(&mut self, address: &NodeAddress, boot_id: u64, now: Millis) {
+        if let Some(held) =
+            self.nodes.get_mut(address).filter(|held| held.record.boot_id == boot_id)
+        {
             held.heard_at = now;
             held.heard_directly_at = Some(now);
         }
     }
 
     /// Notes that the connection of one life of a node ended; true if that makes it gone.
-    pub fn disconnected(&mut self, address: &NodeAddress, life: u64) -> bool {
-        let Some(held) = self.nodes.get_mut(address).filter(|held| held.record.life == life) else {
+    pub fn disconnected(&mut self, address: &NodeAddress, boot_id: u64) -> bool {
+        let Some(held) = self.nodes.get_mut(address).filter(|held| held.record.boot_id == boot_id)
+        else {
             return false;
         };
         held.heard_directly_at = None;
@@ -269,7 +273,7 @@
             return;
         };
         let incarnation = instance.incarnation();
-        let mark = self.marks.iter().find(|(marked, _)| marked.may_be(&incarnation));
+        let mark = self.marks.iter().find(|(marked, _)| marked.may_equal(&incarnation));
         if let Some((_, state)) = mark {
             instance.state = instance.state.max(*state);
         }
@@ -282,7 +286,7 @@
             return;
         };
         let incarnation = instance.incarnation();
-        match self.marks.iter_mut().find(|(marked, _)| marked.may_be(&incarnation)) {
+        match self.marks.iter_mut().find(|(marked, _)| marked.may_equal(&incarnation)) {
             Some((_, state)) => *state = instance.state,
             None => self.marks.push_back((incarnation, instance.state)),
         }
--- a/crates/coordinator/src/registry_loop.rs
+++ b/crates/coordinator/src/registry_loop.rs
@@ -206,7 +206,7 @@
             return;
         }
         let now = self.clock.now_ms();
-        if let CoordinatorFrame::Vouching { member, zone, .. } = &frame {
+        if let CoordinatorFrame::ListHeartbeat { member, zone, .. } = &frame {
             self.quotas.heard_peer(*member, now);
             self.group.note_zone(MemberId(*member), zone);
         }
--- a/crates/coordinator/tests/exchange.rs
+++ b/crates/coordinator/tests/exchange.rs
@@ -16,11 +16,11 @@
     NodeAddress { ip: Ipv4Addr::new(10, 0, 0, host), port: 8_300 }
 }
 
-fn record(host: u8, life: u64, sequence: u64, state: InstanceState) -> NodeRecord {
-    let id = format!("i-{host}-{life}");
+fn record(host: u8, boot_id: u64, sequence: u64, state: InstanceState) -> NodeRecord {
+    let id = format!("i-{host}-{boot_id}");
     NodeRecord {
         address: address(host),
-        life,
+        boot_id,
         sequence,
         zone: "a".to_owned(),
         service: "s".to_owned(),
@@ -85,7 +85,7 @@
             for record in self.sidecars.iter().filter(reached) {
                 match reports {
                     true => drop(coordinator.registry.report(record.clone(), self.now)),
-                    false => coordinator.registry.alive(&record.address, record.life, self.now),
+                    false => coordinator.registry.alive(&record.address, record.boot_id, self.now),
                 }
             }
         }
@@ -134,11 +134,11 @@
 
 fn name_of(frame: &CoordinatorFrame) -> &'static str {
     match frame {
-        CoordinatorFrame::Vouching { .. } => "vouching",
-        CoordinatorFrame::Vouched { .. } => "vouched",
-        CoordinatorFrame::WantVouched { .. } => "want_vouched",
-        CoordinatorFrame::WantRecords { .. } => "want_records",
-        CoordinatorFrame::Heard { .. } => "heard",
+        CoordinatorFrame::ListHeartbeat { .. } => "vouching",
+        CoordinatorFrame::ListChanges { .. } => "vouched",
+        CoordinatorFrame::ListRequest { .. } => "want_vouched",
+        CoordinatorFrame::RecordsRequest { .. } => "want_records",
+        CoordinatorFrame::Records { .. } => "heard",
         _ => "other",
     }
 }
@@ -240,8 +240,8 @@
             0..2 => fleet.report(record(host, step, step, InstanceState::Ready)),
             2..4 => {
                 let held = fleet.sidecars.iter().find(|held| held.address == address(host));
-                if let Some(life) = held.map(|held| held.life) {
-                    fleet.report(record(host, life, step, InstanceState::Draining));
+                if let Some(boot_id) = held.map(|held| held.boot_id) {
+                    fleet.report(record(host, boot_id, step, InstanceState::Draining));
                 }
             }
             4 => fleet.sidecars.retain(|held| held.address != address(host)),
--- a/crates/coordinator/tests/large_exchange.rs
+++ b/crates/coordinator/tests/large_exchange.rs
@@ -18,11 +18,11 @@
     MemberId::first_at(Ipv4Addr::new(10, 0, 1, number as u8))
 }
 
-fn record(number: usize, life: u64, sequence: u64) -> NodeRecord {
+fn record(number: usize, boot_id: u64, sequence: u64) -> NodeRecord {
     let ip = Ipv4Addr::new(10, 1, (number / 250) as u8, (number % 250) as u8);
     NodeRecord {
         address: NodeAddress { ip, port: 8_300 },
-        life,
+        boot_id,
         sequence,
         zone: format!("zone-{}", number % 6),
         service: "balance".to_owned(),
@@ -85,7 +85,7 @@
         for (number, record) in self.sidecars.iter().enumerate() {
             for link in Self::links(number) {
                 let registry = &mut self.coordinators[link].registry;
-                registry.alive(&record.address, record.life, self.now);
+                registry.alive(&record.address, record.boot_id, self.now);
             }
         }
     }
@@ -132,12 +132,12 @@
     /// Whether all coordinators list just the sidecars that are there, in their newest versions.
     fn agrees(&self) -> bool {
         let mut expected: Vec<(NodeAddress, u64, u64)> =
-            self.sidecars.iter().map(|held| (held.address, held.life, held.sequence)).collect();
+            self.sidecars.iter().map(|held| (held.address, held.boot_id, held.sequence)).collect();
         expected.sort_unstable();
         let lists = |coordinator: &Coordinator| {
             let records = coordinator.registry.records();
             let listed: Vec<_> =
-                records.map(|held| (held.address, held.life, held.sequence)).collect();
+                records.map(|held| (held.address, held.boot_id, held.sequence)).collect();
             listed == expected
         };
         self.coordinators.iter().all(lists)
--- a/crates/coordinator/tests/loads.rs
+++ b/crates/coordinator/tests/loads.rs
@@ -59,5 +59,5 @@
         UpstreamLoad::new(70_000, 256, 100),
         UpstreamLoad { running: 255, queued: 255, service_ms: 100, ..UpstreamLoad::default() }
     );
-    assert_eq!(UpstreamLoad::new(70_000, 256, 100).all(), 510);
+    assert_eq!(UpstreamLoad::new(70_000, 256, 100).total_calls(), 510);
 }
--- a/crates/coordinator/tests/registry.rs
+++ b/crates/coordinator/tests/registry.rs
@@ -12,7 +12,7 @@
 
 fn record(
     host: u8,
-    life: u64,
+    boot_id: u64,
     sequence: u64,
     instance: Option<(&str, InstanceState)>,
 ) -> NodeRecord {
@@ -26,7 +26,7 @@
     });
     NodeRecord {
         address: address(host),
-        life,
+        boot_id,
         sequence,
         zone: "a".to_owned(),
         service: "s".to_owned(),
@@ -122,16 +122,16 @@
         for step in 0..120 {
             now += random.u64(0..800);
             let host = random.u8(1..9);
-            let life = random.u64(1..3);
+            let boot_id = random.u64(1..3);
             match random.u8(0..10) {
                 0..6 => {
                     let instance = Some(("i", InstanceState::Ready));
-                    registry.report(record(host, life, step, instance), now);
+                    registry.report(record(host, boot_id, step, instance), now);
                 }
                 6 => {
-                    let node = NodeRecord { stopping: true, ..record(host, life, step, None) };
+                    let node = NodeRecord { stopping: true, ..record(host, boot_id, step, None) };
                     registry.report(node, now);
-                    registry.disconnected(&address(host), life);
+                    registry.disconnected(&address(host), boot_id);
                 }
                 _ => {
                     registry.expire(now);
@@ -148,14 +148,14 @@
     }
 }
 
-fn heard(host: u8, life: u64, sequence: u64, silent_ms: u32) -> HeardNode {
+fn heard(host: u8, boot_id: u64, sequence: u64, silent_ms: u32) -> HeardNode {
     let instance = Some(("i", InstanceState::Ready));
-    HeardNode { record: record(host, life, sequence, instance), silent_ms }
+    HeardNode { record: record(host, boot_id, sequence, instance), silent_ms }
 }
 
 fn version_of(registry: &Registry, host: u8) -> Option<(u64, u64)> {
     let found = registry.records().find(|record| record.address == address(host));
-    found.map(|record| (record.life, record.sequence))
+    found.map(|record| (record.boot_id, record.sequence))
 }
 
 /// One row: what is known here, what another coordinator vouches for, what is listed after it.
@@ -224,11 +224,11 @@
     ];
     for case in cases {
         let mut registry = Registry::new(LEASE_MS);
-        if let Some((life, sequence, at)) = case.known {
+        if let Some((boot_id, sequence, at)) = case.known {
             let instance = Some(("i", InstanceState::Ready));
-            registry.report(record(1, life, sequence, instance), at);
+            registry.report(record(1, boot_id, sequence, instance), at);
             if !case.connected {
-                registry.disconnected(&address(1), life);
+                registry.disconnected(&address(1), boot_id);
             }
         }
         let before = version_of(&registry, 1);
--- a/crates/mesh/src/hop.rs
+++ b/crates/mesh/src/hop.rs
@@ -15,7 +15,7 @@
 
 /// Longest body that is sent without having been offered over a link that carries so many bytes a
 /// millisecond, bytes; `None` if its speed is not known.
-pub fn most_unasked_bytes(link_bytes_per_ms: Option<f64>) -> usize {
+pub fn max_unoffered_bytes(link_bytes_per_ms: Option<f64>) -> usize {
     let carried = link_bytes_per_ms.map_or(MOST_UNASKED_BYTES, |rate| rate * MOST_UNASKED_MS);
     carried.clamp(0.0, MOST_UNASKED_BYTES) as usize
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -15,14 +15,14 @@
 
 pub use frame::{decode_frame, encode_frame, FrameError, MAX_FRAME_BYTES};
 pub use hop::{
-    most_unasked_bytes, Departure, HopOutcome, HopReply, HopRequest, GRANT_HEADER, HOP_HEADER,
+    max_unoffered_bytes, Departure, HopOutcome, HopReply, HopRequest, GRANT_HEADER, HOP_HEADER,
 };
 pub use link::{
-    CoordinatorFrame, Greeting, MemberPlace, Purpose, ToCoordinator, ToSidecar, PROTOCOL_VERSION,
+    CoordinatorFrame, Greeting, MemberLocation, Purpose, ToCoordinator, ToSidecar, PROTOCOL_VERSION,
 };
 pub use member::MemberId;
 pub use poison::{
-    Clearing, CrashId, CrashReport, Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry,
+    Clearing, CrashId, CrashReport, Fingerprint, PoisonEvent, PoisonNotice, QuarantineEntry,
 };
 pub use quota::{CreditAmount, CreditAnswer, CreditAsk, CreditGrant, CreditRequest, TenantId};
 pub use record::{
@@ -31,5 +31,5 @@
 };
 pub use version::{
     time_bin, CallClass, CandidateShare, ClassEvidence, ClassOutcomes, Track, VersionEvidence,
-    VersionPolicy, MOST_VERSION_BYTES, TIME_BINS, WHOLE_PERMILLE,
+    VersionPolicy, MAX_VERSION_BYTES, TIME_BINS, WHOLE_PERMILLE,
 };
--- a/crates/mesh/src/link.rs
+++ b/crates/mesh/src/link.rs
@@ -14,7 +14,7 @@
 
 /// Where a coordinator is.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
-pub struct MemberPlace {
+pub struct MemberLocation {
     /// Its address.
     pub address: Ipv4Addr,
     /// Its zone; empty while that is not known, or if its settings name none.
@@ -59,7 +59,7 @@
         member: u64,
     },
     /// Up to which position the sender's list of sidecars that it hears holds; sent again and again.
-    Vouching {
+    ListHeartbeat {
         /// Sender.
         member: u64,
         /// Its zone; empty if its settings name none.
@@ -70,10 +70,10 @@
         position: u64,
     },
     /// What changed in that list.
-    Vouched {
+    ListChanges {
         /// Sender.
         member: u64,
-        /// As in [`CoordinatorFrame::Vouching`].
+        /// As in [`CoordinatorFrame::ListHeartbeat`].
         epoch: u64,
         /// Position after which it changed; 0 if this is the whole list.
         since: u64,
@@ -85,7 +85,7 @@
         dropped: Vec<NodeAddress>,
     },
     /// The sender lacks what changed in the receiver's list after a position.
-    WantVouched {
+    ListRequest {
         /// Sender.
         member: u64,
         /// Epoch of the receiver's list as it is known; 0 if it is not.
@@ -94,14 +94,14 @@
         position: u64,
     },
     /// The sender lacks the records of sidecars that the receiver hears.
-    WantRecords {
+    RecordsRequest {
         /// Sender.
         member: u64,
         /// Which.
         nodes: Vec<NodeAddress>,
     },
     /// Sidecars that the sender hears itself.
-    Heard {
+    Records {
         /// Which, and when.
         nodes: Vec<HeardNode>,
     },
@@ -115,9 +115,9 @@
         /// The sidecar.
         node: NodeAddress,
         /// Its life.
-        life: u64,
+        boot_id: u64,
         /// What it told.
-        told: VersionEvidence,
+        evidence: VersionEvidence,
     },
     /// What the sender's own sidecars told of requests that may crash upstreams.
     Poison {
@@ -132,11 +132,11 @@
         lacks: Vec<CreditAmount>,
     },
     /// Credits that the sender took out of its pools for the receiver.
-    CreditGift {
+    CreditTransfer {
         /// Sender.
         member: u64,
         /// One for each tenant that was asked for; nothing where it cannot spare any.
-        gifts: Vec<CreditAmount>,
+        credits: Vec<CreditAmount>,
     },
 }
 
@@ -147,7 +147,7 @@
     /// What the sidecar is; the first frame, and again after every change.
     Report(NodeRecord),
     /// Asks for the newest configuration that the coordinator knows.
-    WantConfig {
+    ConfigRequest {
         /// Digest of the content held.
         held: Digest,
     },
@@ -191,14 +191,14 @@
         last: Option<NodeRecord>,
     },
     /// Reports up to this sequence are known here.
-    ReportTaken {
+    ReportAcknowledged {
         /// Sequence of the report.
         sequence: u64,
     },
     /// Where coordinators are.
     Members {
         /// All of them.
-        members: Vec<MemberPlace>,
+        members: Vec<MemberLocation>,
     },
     /// A generation is in force.
     Announce {
--- a/crates/mesh/src/poison.rs
+++ b/crates/mesh/src/poison.rs
@@ -70,7 +70,7 @@
 /// What nodes tell each other of such requests. Each may be told twice, or late.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
-pub enum PoisonNews {
+pub enum PoisonEvent {
     /// An upstream ended.
     Crash(CrashReport),
     /// An upstream ran a suspect and did not end, or an operator cleared it.
@@ -85,5 +85,5 @@
     /// How long ago it was first told, milliseconds.
     pub age_ms: u64,
     /// What it is.
-    pub news: PoisonNews,
+    pub event: PoisonEvent,
 }
--- a/crates/mesh/src/record.rs
+++ b/crates/mesh/src/record.rs
@@ -90,7 +90,7 @@
 
 impl Incarnation {
     /// Whether both may be the same start: a time that was not told tells nothing apart.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_equal(&self, other: &Self) -> bool {
         let untold = self.born_ms == 0 || other.born_ms == 0;
         self.id == other.id && (untold || self.born_ms == other.born_ms)
     }
@@ -104,7 +104,7 @@
     }
 
     /// Whether this is a later start under the same id.
-    pub fn succeeds(&self, other: &Self) -> bool {
+    pub fn is_restart_of(&self, other: &Self) -> bool {
         self.id == other.id && other.born_ms > 0 && self.born_ms > other.born_ms
     }
 }
@@ -115,7 +115,7 @@
     /// Where its peers reach it; also its name.
     pub address: NodeAddress,
     /// Drawn at its start; tells its lives apart.
-    pub life: u64,
+    pub boot_id: u64,
     /// Rises with every change within one life.
     pub sequence: u64,
     /// Its zone.
@@ -134,7 +134,7 @@
     /// The sidecar.
     pub address: NodeAddress,
     /// Its life.
-    pub life: u64,
+    pub boot_id: u64,
     /// Sequence of the record within that life.
     pub sequence: u64,
 }
@@ -142,7 +142,11 @@
 impl RegistryEntry {
     /// The version of this record.
     pub fn of(record: &NodeRecord) -> Self {
-        RegistryEntry { address: record.address, life: record.life, sequence: record.sequence }
+        RegistryEntry {
+            address: record.address,
+            boot_id: record.boot_id,
+            sequence: record.sequence,
+        }
     }
 }
 
@@ -212,7 +216,7 @@
     }
 
     /// Calls with it, those that wait included.
-    pub fn all(self) -> u32 {
+    pub fn total_calls(self) -> u32 {
         u32::from(self.running) + u32::from(self.queued)
     }
 }
--- a/crates/mesh/src/version.rs
+++ b/crates/mesh/src/version.rs
@@ -3,7 +3,7 @@
 use speedy::{Readable, Writable};
 
 /// Longest name of a version, bytes; in an order longer ones are refused, in a record they are cut.
-pub const MOST_VERSION_BYTES: usize = 128;
+pub const MAX_VERSION_BYTES: usize = 128;
 /// All calls, in the unit of [`CandidateShare::permille`].
 pub const WHOLE_PERMILLE: u16 = 1_000;
 /// Bins of times; each two are a doubling, so the last begins at 46 s.
--- a/crates/placement/examples/choice_cost.rs
+++ b/crates/placement/examples/choice_cost.rs
@@ -15,7 +15,7 @@
 fn record(number: u32, zone: u32) -> NodeRecord {
     NodeRecord {
         address: NodeAddress { ip: Ipv4Addr::from(0x0a00_0000 + number), port: 1 },
-        life: 1,
+        boot_id: 1,
         sequence: 1,
         zone: format!("zone-{zone}"),
         service: SERVICE.to_owned(),
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -4,7 +4,7 @@
 use crate::egress_seen::EgressSeen;
 use crate::Millis;
 use mesh::{
-    most_unasked_bytes, HopReply, InstanceState, NodeAddress, NodeRecord, Track, UpstreamLoad,
+    max_unoffered_bytes, HopReply, InstanceState, NodeAddress, NodeRecord, Track, UpstreamLoad,
     VersionPolicy,
 };
 
@@ -202,7 +202,7 @@
         let incarnation =
             |record: &NodeRecord| record.instance.as_ref().map(mesh::InstanceRecord::incarnation);
         let other_instance = incarnation(&self.record) != incarnation(&record);
-        if other_instance || self.record.life != record.life {
+        if other_instance || self.record.boot_id != record.boot_id {
             self.rest_until = 0;
             self.failures = 0;
             self.refusal = None;
@@ -355,7 +355,7 @@
         self.link.tell(f64::from(load.egress_wait_ms), now);
         let newer = |seen: LoadSeen| seen.answered && now < seen.at + ANSWER_FIRST_MS;
         if !self.load_seen.is_some_and(newer) {
-            self.see_load(load.all(), f64::from(load.service_ms), false, now);
+            self.see_load(load.total_calls(), f64::from(load.service_ms), false, now);
             self.note_pace(u32::from(load.pace_percent), now);
         }
     }
@@ -410,7 +410,7 @@
     /// `own_bytes_per_ms`: the slower of the two links decides.
     pub fn is_offered(&self, body_bytes: usize, own_bytes_per_ms: Option<f64>) -> bool {
         let rates = own_bytes_per_ms.into_iter().chain(self.transfer_bytes_per_ms());
-        body_bytes > most_unasked_bytes(rates.reduce(f64::min))
+        body_bytes > max_unoffered_bytes(rates.reduce(f64::min))
     }
 
     /// Time that an offered body of this length takes over its machine's link, the wait for the
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -117,8 +117,8 @@
                 NodeChange::Changed
             }
             Some(held) => {
-                let older =
-                    held.record.life == record.life && held.record.sequence >= record.sequence;
+                let older = held.record.boot_id == record.boot_id
+                    && held.record.sequence >= record.sequence;
                 if older {
                     return NodeChange::None;
                 }
--- a/crates/placement/tests/canary.rs
+++ b/crates/placement/tests/canary.rs
@@ -24,7 +24,7 @@
     };
     NodeRecord {
         address: address(host),
-        life: 1,
+        boot_id: 1,
         sequence: 1,
         zone: "a".to_owned(),
         service: SERVICE.to_owned(),
@@ -110,7 +110,7 @@
     let mut view = view(&[]);
     view.set_policies(&[policy(None, &["v2"])]);
     assert_eq!(hosts(&view, Track::Stable), [1, 2]);
-    let restarted = NodeRecord { life: 2, ..record(1, "v2") };
+    let restarted = NodeRecord { boot_id: 2, ..record(1, "v2") };
     view.update(restarted, NOW);
     assert_eq!(hosts(&view, Track::Stable), [2], "its machine runs the rejected version now");
 }
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -17,7 +17,7 @@
 fn record(host: u8, cold_remaining_ms: u32) -> NodeRecord {
     NodeRecord {
         address: address(host),
-        life: 1,
+        boot_id: 1,
         sequence: 1 + u64::from(cold_remaining_ms > 0),
         zone: "a".to_owned(),
         service: SERVICE.to_owned(),
--- a/crates/placement/tests/egress.rs
+++ b/crates/placement/tests/egress.rs
@@ -21,7 +21,7 @@
 fn record(host: u8, zone: &str) -> NodeRecord {
     NodeRecord {
         address: address(host),
-        life: 1,
+        boot_id: 1,
         sequence: 1,
         zone: zone.to_owned(),
         service: SERVICE.to_owned(),
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -22,7 +22,7 @@
 fn record(number: u32, version: &str) -> NodeRecord {
     NodeRecord {
         address: address(number),
-        life: 1,
+        boot_id: 1,
         sequence: 1,
         zone: format!("zone-{}", number % ZONES),
         service: SERVICE.to_owned(),
--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -18,7 +18,7 @@
 fn record(host: u8, zone: &str, state: InstanceState) -> NodeRecord {
     NodeRecord {
         address: address(host),
-        life: 1,
+        boot_id: 1,
         sequence: u64::from(state == InstanceState::Draining) + 1,
         zone: zone.to_owned(),
         service: SERVICE.to_owned(),
@@ -144,7 +144,7 @@
     let mut view = view(&[(1, "a"), (2, "b")]);
     view.retain(|_| false, 10_000);
     assert!(view.has_live(SERVICE));
-    view.update(NodeRecord { life: 2, ..record(2, "b", InstanceState::Ready) }, 11_000);
+    view.update(NodeRecord { boot_id: 2, ..record(2, "b", InstanceState::Ready) }, 11_000);
     view.retain(|key| *key == address(2), 11_000);
     assert!(view.get(&address(1)).is_none(), "one returned, the other is gone");
 }
--- a/crates/quarantine/src/board.rs
+++ b/crates/quarantine/src/board.rs
@@ -1,7 +1,7 @@
 //! What a coordinator passes on of crashes and suspects; soft state.
 
 use crate::{Millis, Quarantine, Verdict, CRASH_MEMORY_MS};
-use mesh::{Clearing, CrashId, Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry};
+use mesh::{Clearing, CrashId, Fingerprint, PoisonEvent, PoisonNotice, QuarantineEntry};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Most notices kept for nodes that start later; at some 200 bytes each, 50 kB.
@@ -13,7 +13,7 @@
     at: Millis,
     /// Whether this coordinator tells it to others.
     passed_on: bool,
-    news: PoisonNews,
+    event: PoisonEvent,
 }
 
 /// Notices in the order in which they came, each once, and what they come to.
@@ -30,37 +30,37 @@
     /// Takes in what a sidecar told (`here`) or another coordinator passed on; what a notice came to
     /// if it is new.
     pub fn take(&mut self, notice: PoisonNotice, here: bool, now: Millis) -> Option<Verdict> {
-        let PoisonNotice { age_ms, news } = notice;
+        let PoisonNotice { age_ms, event } = notice;
         let at = now.saturating_sub(age_ms);
-        if let (PoisonNews::Cleared(clearing), false) = (&news, here) {
+        if let (PoisonEvent::Cleared(clearing), false) = (&event, here) {
             self.held_here_only.remove(&clearing.fingerprint);
         }
-        let verdict = match &news {
-            PoisonNews::Crash(report) => match self.quarantine.note_crash(report, at) {
+        let verdict = match &event {
+            PoisonEvent::Crash(report) => match self.quarantine.note_crash(report, at) {
                 Verdict::Known => return None,
                 verdict => verdict,
             },
-            PoisonNews::Cleared(clearing) => match self.quarantine.note_cleared(clearing, at) {
+            PoisonEvent::Cleared(clearing) => match self.quarantine.note_cleared(clearing, at) {
                 true => Verdict::Known,
                 false => return None,
             },
-            PoisonNews::Quarantined(entry) => match self.quarantine.note_quarantined(entry, at) {
+            PoisonEvent::Quarantined(entry) => match self.quarantine.note_quarantined(entry, at) {
                 true => Verdict::Quarantined(vec![entry.clone()]),
                 false => return None,
             },
         };
-        self.hold(news, here, at);
+        self.hold(event, here, at);
         Some(verdict)
     }
 
-    fn hold(&mut self, news: PoisonNews, here: bool, at: Millis) {
+    fn hold(&mut self, event: PoisonEvent, here: bool, at: Millis) {
         // What ends a quarantine is passed on by all that hear of it, once: whoever told it first may
         // have ended before others heard.
         let ends_quarantine =
-            matches!(&news, PoisonNews::Cleared(clearing) if clearing.ends_quarantine());
+            matches!(&event, PoisonEvent::Cleared(clearing) if clearing.ends_quarantine());
         let passed_on = here || ends_quarantine;
         self.position += 1;
-        self.notices.push_back(Held { position: self.position, at, passed_on, news });
+        self.notices.push_back(Held { position: self.position, at, passed_on, event });
         if self.notices.len() > MOST_NOTICES {
             self.notices.pop_front();
         }
@@ -75,7 +75,7 @@
         if clearing.ends_quarantine() {
             self.held_here_only.insert(fingerprint);
         }
-        self.hold(PoisonNews::Cleared(clearing), true, now);
+        self.hold(PoisonEvent::Cleared(clearing), true, now);
         true
     }
 
@@ -119,16 +119,16 @@
             let Clearing { fingerprint, mut crashes } = clearing;
             let held = self.cleared_in_notices(fingerprint);
             crashes.retain(|crash| !held.contains(crash));
-            let news = PoisonNews::Cleared(Clearing { fingerprint, crashes: crashes.clone() });
+            let event = PoisonEvent::Cleared(Clearing { fingerprint, crashes: crashes.clone() });
             let age_ms = now.saturating_sub(at);
-            (!crashes.is_empty()).then_some(PoisonNotice { age_ms, news })
+            (!crashes.is_empty()).then_some(PoisonNotice { age_ms, event })
         });
         unheld.chain(self.newer(0, now, |_| true)).collect()
     }
 
     fn cleared_in_notices(&self, fingerprint: Fingerprint) -> BTreeSet<CrashId> {
-        let named = |held: &Held| match &held.news {
-            PoisonNews::Cleared(clearing) if clearing.fingerprint == fingerprint => {
+        let named = |held: &Held| match &held.event {
+            PoisonEvent::Cleared(clearing) if clearing.fingerprint == fingerprint => {
                 clearing.crashes.clone()
             }
             _ => Vec::new(),
@@ -150,7 +150,7 @@
         let newer = |held: &&Held| held.position > position && wanted(held);
         let notice = |held: &Held| PoisonNotice {
             age_ms: now.saturating_sub(held.at),
-            news: held.news.clone(),
+            event: held.event.clone(),
         };
         self.notices.iter().filter(newer).map(notice).collect()
     }
--- a/crates/quarantine/tests/board.rs
+++ b/crates/quarantine/tests/board.rs
@@ -1,6 +1,6 @@
 //! What a coordinator passes on.
 
-use mesh::{Clearing, CrashId, CrashReport, Fingerprint, NodeAddress, PoisonNews, PoisonNotice};
+use mesh::{Clearing, CrashId, CrashReport, Fingerprint, NodeAddress, PoisonEvent, PoisonNotice};
 use quarantine::{crash_id, NoticeBoard, Quarantine, Standing};
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
 fn crash(instance: &str, running: &[u64]) -> PoisonNotice {
     let running = running.iter().copied().map(Fingerprint).collect();
     let report = CrashReport { node: NODE, instance: instance.to_owned(), running };
-    PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }
+    PoisonNotice { age_ms: 0, event: PoisonEvent::Crash(report) }
 }
 
 fn id(instance: &str) -> CrashId {
@@ -23,7 +23,7 @@
 }
 
 fn cleared(request: u64, instances: &[&str]) -> PoisonNotice {
-    PoisonNotice { age_ms: 0, news: PoisonNews::Cleared(clearing(request, instances)) }
+    PoisonNotice { age_ms: 0, event: PoisonEvent::Cleared(clearing(request, instances)) }
 }
 
 #[test]
@@ -54,15 +54,15 @@
     }
     let mut late = Quarantine::default();
     let now = 50_000;
-    for PoisonNotice { age_ms, news } in board.since(0, now) {
-        match news {
-            PoisonNews::Crash(report) => {
+    for PoisonNotice { age_ms, event } in board.since(0, now) {
+        match event {
+            PoisonEvent::Crash(report) => {
                 late.note_crash(&report, now - age_ms);
             }
-            PoisonNews::Cleared(clearing) => {
+            PoisonEvent::Cleared(clearing) => {
                 late.note_cleared(&clearing, now - age_ms);
             }
-            PoisonNews::Quarantined(_) => panic!("none was told"),
+            PoisonEvent::Quarantined(_) => panic!("none was told"),
         }
     }
     assert_eq!(late.entries(now), board.entries(now));
@@ -78,8 +78,8 @@
     assert!(board.clear(Fingerprint(1), 20));
     assert!(!board.clear(Fingerprint(1), 20));
     assert!(board.entries(30).is_empty());
-    let last = board.since(0, 30).pop().map(|notice| notice.news);
-    assert_eq!(last, Some(PoisonNews::Cleared(clearing(1, &["i-1", "i-2"]))), "sidecars are told");
+    let last = board.since(0, 30).pop().map(|notice| notice.event);
+    assert_eq!(last, Some(PoisonEvent::Cleared(clearing(1, &["i-1", "i-2"]))), "sidecars are told");
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let first = |position| board.since(position, 3_000).into_iter().next().expect("a notice");
     let mut both = clearing(1, &["i-1", "i-2"]);
     both.crashes.sort();
-    assert_eq!(first(0).news, PoisonNews::Cleared(both));
+    assert_eq!(first(0).event, PoisonEvent::Cleared(both));
     assert_eq!((first(0).age_ms, first(heard)), (2_000, first(0)), "also behind what is held");
 }
 
--- a/crates/rollout/src/machine/canaries.rs
+++ b/crates/rollout/src/machine/canaries.rs
@@ -3,7 +3,7 @@
 use crate::command::{BadCanarySnafu, CanaryUnderWaySnafu, NoSuchCanarySnafu};
 use crate::{Accepted, Answer};
 use canary::Phase;
-use mesh::MOST_VERSION_BYTES;
+use mesh::MAX_VERSION_BYTES;
 use serde::Serialize;
 use snafu::{ensure, OptionExt};
 use speedy::{Readable, Writable};
@@ -59,7 +59,7 @@
             let version = &former.version;
             ensure!(!under_way, CanaryUnderWaySnafu { service, version });
         }
-        let length = 1..=MOST_VERSION_BYTES;
+        let length = 1..=MAX_VERSION_BYTES;
         let named = length.contains(&version.len());
         ensure!(named, BadCanarySnafu { reason: "a version has a name of 1 to 128 bytes" });
         let lasts = (1..=MOST_DURATION_MS).contains(&duration_ms);
--- a/crates/sidecar/src/links/choice.rs
+++ b/crates/sidecar/src/links/choice.rs
@@ -5,7 +5,7 @@
 //! leaves moves only the links that become its own or were, and a sidecar that starts again finds the
 //! coordinators that knew it.
 
-use mesh::{MemberPlace, NodeAddress};
+use mesh::{MemberLocation, NodeAddress};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -36,16 +36,16 @@
 pub fn chosen(
     own: &NodeAddress,
     zone: &str,
-    members: &[MemberPlace],
+    members: &[MemberLocation],
     is_down: impl Fn(Ipv4Addr) -> bool,
 ) -> Vec<Ipv4Addr> {
     if members.len() <= MOST_LINKED_ALL {
         return members.iter().map(|member| member.address).collect();
     }
-    let mut ranked: Vec<&MemberPlace> = members.iter().collect();
+    let mut ranked: Vec<&MemberLocation> = members.iter().collect();
     ranked.sort_by_key(|member| (std::cmp::Reverse(rank(own, member.address)), member.address));
     ranked.dedup_by_key(|member| member.address);
-    let (near, far): (Vec<&MemberPlace>, Vec<&MemberPlace>) =
+    let (near, far): (Vec<&MemberLocation>, Vec<&MemberLocation>) =
         ranked.into_iter().partition(|member| !zone.is_empty() && member.zone == zone);
     let mut found = Vec::new();
     let near_links = take(&near, NEAR_LINKS, false, &is_down, &mut found);
@@ -58,7 +58,7 @@
 /// Takes so many that can be reached, in order of rank, of different zones first if asked to, and at
 /// most as many that cannot; returns how many can.
 fn take(
-    ranked: &[&MemberPlace],
+    ranked: &[&MemberLocation],
     wanted: usize,
     spread: bool,
     is_down: &impl Fn(Ipv4Addr) -> bool,
--- a/crates/sidecar/src/links/content.rs
+++ b/crates/sidecar/src/links/content.rs
@@ -42,7 +42,7 @@
         if waits && !link.same_zone && passed_over.is_none() {
             return;
         }
-        send(net, link, &ToCoordinator::WantConfig { held });
+        send(net, link, &ToCoordinator::ConfigRequest { held });
         self.config_asked = Some((*address, now));
     }
 
@@ -59,7 +59,7 @@
         let Some((address, link)) = nearest.filter(|(_, link)| link.same_zone || !waits) else {
             return false;
         };
-        send(net, link, &ToCoordinator::WantConfig { held });
+        send(net, link, &ToCoordinator::ConfigRequest { held });
         self.config_asked = Some((*address, now));
         true
     }
--- a/crates/sidecar/src/links/mod.rs
+++ b/crates/sidecar/src/links/mod.rs
@@ -17,7 +17,7 @@
 use bundle::BundleUpdate;
 use bytes::Buf;
 use mesh::{
-    decode_frame, encode_frame, CreditAnswer, Greeting, MemberPlace, NodeAddress, NodeLoad,
+    decode_frame, encode_frame, CreditAnswer, Greeting, MemberLocation, NodeAddress, NodeLoad,
     NodeRecord, PoisonNotice, Purpose, ToCoordinator, ToSidecar, UpstreamLoad, VersionPolicy,
     PROTOCOL_VERSION,
 };
@@ -112,7 +112,7 @@
     fleet: String,
     port: u16,
     seeds: Vec<Ipv4Addr>,
-    members: Vec<MemberPlace>,
+    members: Vec<MemberLocation>,
     links: BTreeMap<Ipv4Addr, Link>,
     record: NodeRecord,
     random: fastrand::Rng,
@@ -292,7 +292,7 @@
                 events.push(LinkEvent::Welcome(last));
                 self.subscribe(net, now);
             }
-            ToSidecar::ReportTaken { sequence } => link.taken = link.taken.max(sequence),
+            ToSidecar::ReportAcknowledged { sequence } => link.taken = link.taken.max(sequence),
             ToSidecar::Members { members } => {
                 let known = members.iter().filter(|member| !member.zone.is_empty()).count();
                 let count = members.len();
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -6,7 +6,7 @@
 use crate::Millis;
 use http1::Request;
 use mesh::{
-    CrashId, CrashReport, Fingerprint, HopReply, NodeAddress, PoisonNews, PoisonNotice,
+    CrashId, CrashReport, Fingerprint, HopReply, NodeAddress, PoisonEvent, PoisonNotice,
     QuarantineEntry,
 };
 use quarantine::{Quarantine, RecentRuns, RequestIdentity, Standing, Verdict, CRASH_MEMORY_MS};
@@ -41,7 +41,7 @@
     /// them or forgot.
     own_reports: VecDeque<(Millis, CrashReport)>,
     /// What coordinators are to be told.
-    untold: Vec<PoisonNews>,
+    untold: Vec<PoisonEvent>,
 }
 
 /// A handle to it.
@@ -87,7 +87,7 @@
         if known.own_reports.len() > MOST_OWN_REPORTS {
             known.own_reports.pop_front();
         }
-        known.untold.push(PoisonNews::Crash(report));
+        known.untold.push(PoisonEvent::Crash(report));
     }
 
     /// Takes in that the upstream ran a request and did not end.
@@ -100,19 +100,19 @@
     /// Takes in what a coordinator passed on.
     pub fn learn(&self, notices: Vec<PoisonNotice>, now: Millis) {
         let mut known = self.0.borrow_mut();
-        for PoisonNotice { age_ms, news } in notices {
+        for PoisonNotice { age_ms, event } in notices {
             let at = now.saturating_sub(age_ms);
-            match news {
-                PoisonNews::Crash(report) => {
+            match event {
+                PoisonEvent::Crash(report) => {
                     log_verdict(&known.quarantine.note_crash(&report, at), &report.instance);
                     known.speak_for(&report.running, now);
                 }
-                PoisonNews::Cleared(clearing) => {
+                PoisonEvent::Cleared(clearing) => {
                     let taken = known.quarantine.note_cleared(&clearing, at);
                     let (fingerprint, crashes) = (clearing.fingerprint, clearing.crashes.len());
                     info!(%fingerprint, crashes, age_ms, taken, "clearing_learned");
                 }
-                PoisonNews::Quarantined(entry) => {
+                PoisonEvent::Quarantined(entry) => {
                     let taken = known.quarantine.note_quarantined(&entry, at);
                     let QuarantineEntry { fingerprint, left_ms, .. } = entry;
                     info!(%fingerprint, left_ms, age_ms, taken, "quarantine_told");
@@ -147,8 +147,8 @@
 
     /// What coordinators are to be told now.
     pub fn take_untold(&self) -> Vec<PoisonNotice> {
-        let news = std::mem::take(&mut self.0.borrow_mut().untold);
-        news.into_iter().map(|news| PoisonNotice { age_ms: 0, news }).collect()
+        let events = std::mem::take(&mut self.0.borrow_mut().untold);
+        events.into_iter().map(|event| PoisonNotice { age_ms: 0, event }).collect()
     }
 
     /// What a coordinator is told that may have forgotten all, or was not there when it happened:
@@ -157,14 +157,14 @@
     pub fn all_known(&self, now: Millis) -> Vec<PoisonNotice> {
         let known = self.0.borrow();
         let reports = known.own_reports.iter().filter_map(|(at, report)| {
-            let news = PoisonNews::Crash(known.still_suspected(report, now)?);
-            Some(PoisonNotice { age_ms: now.saturating_sub(*at), news })
+            let event = PoisonEvent::Crash(known.still_suspected(report, now)?);
+            Some(PoisonNotice { age_ms: now.saturating_sub(*at), event })
         });
         let entries = known.quarantine.entries(now).into_iter();
         // One that does not say what it rests on could not be cleared by name.
         let named = entries.filter(|entry| !entry.crashes.is_empty());
         let entries =
-            named.map(|entry| PoisonNotice { age_ms: 0, news: PoisonNews::Quarantined(entry) });
+            named.map(|entry| PoisonNotice { age_ms: 0, event: PoisonEvent::Quarantined(entry) });
         known.quarantines_cleared(now).chain(reports).chain(entries).collect()
     }
 
@@ -192,7 +192,7 @@
         let ended = self.quarantine.clearings().filter(|(_, clearing)| clearing.ends_quarantine());
         ended.map(move |(at, clearing)| PoisonNotice {
             age_ms: now.saturating_sub(at),
-            news: PoisonNews::Cleared(clearing),
+            event: PoisonEvent::Cleared(clearing),
         })
     }
 
@@ -218,7 +218,7 @@
     fn clear(&mut self, fingerprint: Fingerprint, now: Millis) {
         if let Some(clearing) = self.quarantine.clear(fingerprint, now) {
             info!(%fingerprint, "suspect_cleared");
-            self.untold.push(PoisonNews::Cleared(clearing));
+            self.untold.push(PoisonEvent::Cleared(clearing));
         }
     }
 }
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -162,7 +162,7 @@
         let own = NodeAddress::from(settings.inbound_listen);
         let record = NodeRecord {
             address: own,
-            life: fastrand::u64(..),
+            boot_id: fastrand::u64(..),
             sequence: 0,
             zone: settings.zone.clone(),
             service: settings.service.clone(),
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -140,7 +140,7 @@
         };
         let record = NodeRecord {
             address: NodeAddress { ip: Ipv4Addr::new(10, 0, 0, host), port: 8_300 },
-            life: 1,
+            boot_id: 1,
             sequence: 1,
             zone: "zone-a".to_owned(),
             service: SERVICE.to_owned(),
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -9,7 +9,7 @@
 use http1::{Answer, ExchangeError, Headers, Request, Response};
 use mesh::{
     Clearing, CrashId, CrashReport, Fingerprint, HopOutcome, HopReply, HopRequest, InstanceRecord,
-    InstanceState, NodeAddress, PoisonNews, PoisonNotice,
+    InstanceState, NodeAddress, PoisonEvent, PoisonNotice,
 };
 use sidecar::{
     AttemptEnd, ConnectionId, JobAction, JobMetrics, Jobs, LogSample, PoisonWatch, Source,
@@ -120,8 +120,8 @@
 }
 
 fn crashes(notices: Vec<PoisonNotice>) -> Vec<CrashReport> {
-    let report = |notice: PoisonNotice| match notice.news {
-        PoisonNews::Crash(report) => Some(report),
+    let report = |notice: PoisonNotice| match notice.event {
+        PoisonEvent::Crash(report) => Some(report),
         _ => None,
     };
     notices.into_iter().filter_map(report).collect()
@@ -239,7 +239,7 @@
         };
         let running = vec![identity.fingerprint()];
         let report = CrashReport { node: NODE, instance: (*instance).to_owned(), running };
-        PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }
+        PoisonNotice { age_ms: 0, event: PoisonEvent::Crash(report) }
     });
     watch.learn(notices.collect(), common::START_MS);
     watch
@@ -286,10 +286,10 @@
     let running = vec![fingerprint, Fingerprint(5)];
     let report = CrashReport { node: NODE, instance: "elsewhere".to_owned(), running };
     let crashes = vec![quarantine::crash_id(&report)];
-    node.watch.learn(vec![PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }], 100);
-    let told: Vec<PoisonNews> =
-        node.watch.take_untold().into_iter().map(|notice| notice.news).collect();
-    assert_eq!(told, [PoisonNews::Cleared(Clearing { fingerprint, crashes })]);
+    node.watch.learn(vec![PoisonNotice { age_ms: 0, event: PoisonEvent::Crash(report) }], 100);
+    let told: Vec<PoisonEvent> =
+        node.watch.take_untold().into_iter().map(|notice| notice.event).collect();
+    assert_eq!(told, [PoisonEvent::Cleared(Clearing { fingerprint, crashes })]);
 }
 
 /// A sidecar whose coordinators were all gone: it knows nothing, the one beside the upstream does.
@@ -345,8 +345,8 @@
         body: b"",
     };
     let fingerprint = identity.fingerprint();
-    let news = PoisonNews::Cleared(Clearing { fingerprint, crashes });
-    watch.learn(vec![PoisonNotice { age_ms: 0, news }], common::START_MS);
+    let event = PoisonEvent::Cleared(Clearing { fingerprint, crashes });
+    watch.learn(vec![PoisonNotice { age_ms: 0, event }], common::START_MS);
     let (attempt, _) = sent(&world.begin("GET", "/safe/poison")).expect("it is sent");
     let AttemptEnd::Replied(reply, response) = replied(HopOutcome::Refused, 503) else {
         panic!("it is a reply")
--- a/crates/sidecar/tests/link_choice.rs
+++ b/crates/sidecar/tests/link_choice.rs
@@ -1,6 +1,6 @@
 //! Which coordinators sidecars link to: how even that is, and what moves when members do.
 
-use mesh::{MemberPlace, NodeAddress};
+use mesh::{MemberLocation, NodeAddress};
 use sidecar::chosen_coordinators;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -13,8 +13,8 @@
     format!("zone-{number}")
 }
 
-fn members(coordinators: usize, zones: usize) -> Vec<MemberPlace> {
-    let place = |number: usize| MemberPlace {
+fn members(coordinators: usize, zones: usize) -> Vec<MemberLocation> {
+    let place = |number: usize| MemberLocation {
         address: Ipv4Addr::new(10, 0, (number / 200) as u8, (number % 200) as u8),
         zone: zone(number % zones),
     };
@@ -32,7 +32,7 @@
 /// The links of all sidecars, where some coordinators are down.
 fn links(
     sidecars: &[(NodeAddress, String)],
-    members: &[MemberPlace],
+    members: &[MemberLocation],
     down: &BTreeSet<Ipv4Addr>,
 ) -> Vec<Vec<Ipv4Addr>> {
     let up = |found: Vec<Ipv4Addr>| found.into_iter().filter(|at| !down.contains(at)).collect();
@@ -132,8 +132,9 @@
 #[test]
 fn what_members_may_look_like() {
     let own = NodeAddress { ip: Ipv4Addr::new(10, 1, 0, 1), port: 8_300 };
-    let chosen =
-        |members: &[MemberPlace], zone: &str| chosen_coordinators(&own, zone, members, |_| false);
+    let chosen = |members: &[MemberLocation], zone: &str| {
+        chosen_coordinators(&own, zone, members, |_| false)
+    };
     assert!(chosen(&[], "zone-0").is_empty(), "nobody");
     let few = members(8, 4);
     assert_eq!(chosen(&few, "zone-0").len(), 8, "all of a small group");
@@ -144,14 +145,14 @@
     let links = chosen(&twice, "zone-0");
     let distinct: BTreeSet<&Ipv4Addr> = links.iter().collect();
     assert_eq!((links.len(), distinct.len()), (LINKS, LINKS), "each twice");
-    let unknown: Vec<MemberPlace> = members(12, 6)
+    let unknown: Vec<MemberLocation> = members(12, 6)
         .into_iter()
-        .map(|member| MemberPlace { zone: String::new(), ..member })
+        .map(|member| MemberLocation { zone: String::new(), ..member })
         .collect();
     assert_eq!(chosen(&unknown, "zone-0").len(), LINKS, "zones are not known");
     assert_eq!(chosen(&members(12, 6), "elsewhere").len(), LINKS, "none in the own zone");
     assert_eq!(chosen(&members(12, 6), "").len(), LINKS, "without a zone");
-    let itself = [MemberPlace { address: own.ip, zone: "zone-0".to_owned() }];
+    let itself = [MemberLocation { address: own.ip, zone: "zone-0".to_owned() }];
     assert_eq!(chosen(&itself, "zone-0"), [own.ip], "one beside it");
 }
 
--- a/crates/sidecar/tests/links.rs
+++ b/crates/sidecar/tests/links.rs
@@ -2,7 +2,7 @@
 
 use bundle::{best_update, Bundle, Digest};
 use mesh::{
-    decode_frame, encode_frame, Greeting, MemberPlace, NodeAddress, NodeRecord, ToCoordinator,
+    decode_frame, encode_frame, Greeting, MemberLocation, NodeAddress, NodeRecord, ToCoordinator,
     ToSidecar, VersionPolicy,
 };
 use sidecar::{LinkEvent, Links, Net};
@@ -23,7 +23,7 @@
 fn record(host: u8, zone: &str) -> NodeRecord {
     NodeRecord {
         address: NodeAddress { ip: Ipv4Addr::new(10, 0, 0, host), port: 8_300 },
-        life: 1,
+        boot_id: 1,
         sequence: 1,
         zone: zone.to_owned(),
         service: "s".to_owned(),
@@ -110,7 +110,7 @@
     }
 
     fn asked_for_config(&self) -> bool {
-        self.heard.iter().any(|frame| matches!(frame, ToCoordinator::WantConfig { .. }))
+        self.heard.iter().any(|frame| matches!(frame, ToCoordinator::ConfigRequest { .. }))
     }
 }
 
@@ -141,7 +141,7 @@
         let mut world = World { net, links, now: 1_000, events: Vec::new(), coordinators };
         world.until(|world| world.coordinators.iter().all(|held| !held.heard.is_empty()));
         // Seeds are wanted only until one of them is reached; members always.
-        let place = |host: &u8| MemberPlace { address: ip(*host), zone: String::new() };
+        let place = |host: &u8| MemberLocation { address: ip(*host), zone: String::new() };
         let members = hosts.iter().map(place).collect();
         world.coordinators[0].send(&ToSidecar::Members { members });
         world
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -364,7 +364,7 @@
                 Node::Coordinator(coordinator) => {
                     let here = matches!(frame.from, Node::Sidecar(_));
                     for notice in frame.notices {
-                        let (age_ms, news) = (notice.age_ms, notice.news.clone());
+                        let (age_ms, news) = (notice.age_ms, notice.event.clone());
                         let taken = self.boards[coordinator].take(notice, here, self.now).is_some();
                         let at_ms = self.now;
                         info!(at_ms, coordinator, from = ?frame.from, age_ms, ?news, taken, "told");
