--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -231,7 +231,7 @@
         let Some(call) = self.calls.get_mut(&id).filter(|_| reply.quarantine_left_ms > 0) else {
             return;
         };
-        if self.poison.note_kept_away(&call.service, &call.request, reply, now) {
+        if self.poison.note_quarantine_refusal(&call.service, &call.request, reply, now) {
             call.most_arrivals = call.arrivals;
         }
     }
@@ -243,7 +243,7 @@
         let Some(call) = self.calls.get(&id) else {
             return Vec::new();
         };
-        if !self.poison.note_kept_away(&call.service, &call.request, reply, now) {
+        if !self.poison.note_quarantine_refusal(&call.service, &call.request, reply, now) {
             return self.place(id, now);
         }
         let left_ms = u64::from(reply.quarantine_left_ms);
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -69,21 +69,21 @@
 
 /// Who asks for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lineage {
+pub enum Initiator {
     /// Nobody that this node knows more of.
     Caller,
     /// A run of the upstream beside this node, which holds a slot until the call ends.
-    BegunWork,
+    LocalRun,
     /// The same, where another upstream had the call that the run is of: this call was asked for there,
     /// too, and counts as a repeat at the service that it is for.
-    RepeatedWork,
+    RepeatedRun,
 }
 
-impl Lineage {
+impl Initiator {
     fn asked_by(self) -> AskedBy {
         match self {
             Self::Caller => AskedBy::Caller,
-            Self::BegunWork | Self::RepeatedWork => AskedBy::Run,
+            Self::LocalRun | Self::RepeatedRun => AskedBy::Run,
         }
     }
 }
@@ -279,20 +279,20 @@
         config: &Config,
         now: Millis,
     ) -> Vec<CallAction> {
-        self.begin_of(Lineage::Caller, origin, request, config, now)
+        self.begin_from(Initiator::Caller, origin, request, config, now)
     }
 
     /// Takes in a call.
-    pub fn begin_of(
+    pub fn begin_from(
         &mut self,
-        lineage: Lineage,
+        initiator: Initiator,
         origin: Origin,
         request: Request,
         config: &Config,
         now: Millis,
     ) -> Vec<CallAction> {
         self.counts.begun += 1;
-        let call = WaitingCall { lineage, origin, request, arrived: now };
+        let call = WaitingCall { initiator, origin, request, arrived: now };
         self.begin_with(Credit::Wanted, call, config, now)
     }
 
@@ -304,7 +304,7 @@
         config: &Config,
         now: Millis,
     ) -> Vec<CallAction> {
-        let WaitingCall { lineage, origin, request, arrived } = call;
+        let WaitingCall { initiator, origin, request, arrived } = call;
         let attempt_id = request.headers.text(self.names.attempt_id).unwrap_or("-").to_owned();
         let Some(routing) = config.routing() else {
             // It comes back when there is a configuration, and can still be in time then; one that
@@ -326,7 +326,7 @@
                 return vec![self.deny(origin, &route.name, problem, &request, config, now)];
             }
         };
-        let call = WaitingCall { lineage, origin, request, arrived };
+        let call = WaitingCall { initiator, origin, request, arrived };
         let request = match self.take_credit(credit, holder.as_ref(), call, &route.name, now) {
             Ok(request) => request,
             Err(answers) => return answers,
@@ -343,9 +343,9 @@
             return vec![self.refuse_quarantined(origin, &attempt_id, &route.name, left_ms)];
         }
         // Held back, the run that waits for it would have held its slot in vain.
-        let held_back = match lineage {
-            Lineage::Caller => self.hold_back(&route.name, &service, urgency, now),
-            Lineage::BegunWork | Lineage::RepeatedWork => None,
+        let held_back = match initiator {
+            Initiator::Caller => self.hold_back(&route.name, &service, urgency, now),
+            Initiator::LocalRun | Initiator::RepeatedRun => None,
         };
         if let Some(held_back) = held_back {
             let HeldBack { reason, part, retry_after_ms } = held_back;
@@ -358,7 +358,7 @@
             self.metrics.note_end(&route.name, CallOutcome::HeldBack, 0);
             return vec![refusal(origin, retry_after_ms)];
         }
-        self.note_asked(lineage, &service, now);
+        self.note_asked(initiator, &service, now);
         let track = self.draw_track(&service);
         let call = Call {
             origin,
@@ -375,7 +375,7 @@
             service,
             track,
             suspect: standing == Standing::Suspect,
-            begun: lineage != Lineage::Caller,
+            begun: initiator != Initiator::Caller,
             arrived,
             told_ms: told,
             deadline: arrived + told.min(timeout),
--- a/crates/sidecar/src/calls/repeats.rs
+++ b/crates/sidecar/src/calls/repeats.rs
@@ -1,7 +1,7 @@
 //! Calls and the fleet's bound on repeats: what is taken down, what is allowed, what is told of it.
 
 use super::call::Call;
-use super::{CallId, Calls, Lineage};
+use super::{CallId, Calls, Initiator};
 use crate::Millis;
 use tracing::info;
 
@@ -12,15 +12,15 @@
 
 impl Calls {
     /// Takes down a call for the bound on repeats.
-    pub(super) fn note_asked(&mut self, lineage: Lineage, service: &str, now: Millis) {
-        if lineage != Lineage::RepeatedWork {
-            self.budget.note_request(service, lineage.asked_by(), now);
+    pub(super) fn note_asked(&mut self, initiator: Initiator, service: &str, now: Millis) {
+        if initiator != Initiator::RepeatedRun {
+            self.budget.note_request(service, initiator.asked_by(), now);
             return;
         }
-        if !self.budget.allows(service, lineage.asked_by(), self.view.nodes(), now) {
+        if !self.budget.allows(service, initiator.asked_by(), self.view.nodes(), now) {
             self.hedges_barred_until = now + HEDGES_BARRED_MS;
         }
-        self.budget.note_repeat(service, lineage.asked_by(), now);
+        self.budget.note_repeat(service, initiator.asked_by(), now);
     }
 
     /// Until when the upstream beside this node should be given no second tries, since what their runs
@@ -45,7 +45,7 @@
 
     /// Takes down once a second how many nodes share the bound, and logs what was done about repeats at
     /// each service, if anything was.
-    pub fn tell_repeats(&mut self, now: Millis) {
+    pub fn report_repeats(&mut self, now: Millis) {
         if now < self.repeats_told_at + TOLD_EVERY_MS {
             return;
         }
--- a/crates/sidecar/src/jobs/at_work.rs
+++ b/crates/sidecar/src/jobs/at_work.rs
@@ -1,7 +1,7 @@
 //! What the upstream works on, by the ids of calls, and who asks for what a run asks for.
 
 use super::Jobs;
-use crate::calls::Lineage;
+use crate::calls::Initiator;
 
 /// Between the id of a run and what tells its calls apart.
 const ID_SEPARATOR: char = '.';
@@ -37,12 +37,12 @@
     /// Who asks for a call of this id, given on this machine. Ids of calls made by a run are those
     /// of the run with a part of their own behind a dot, as hierarchical trace ids are; an id that
     /// extends none of a run under way here is taken for a caller's.
-    pub fn lineage(&self, attempt_id: &str) -> Lineage {
+    pub fn initiator(&self, attempt_id: &str) -> Initiator {
         let run = attempt_id.rsplit_once(ID_SEPARATOR).map(|(run, _)| run);
         match run.and_then(|run| self.at_work.get(run)) {
-            Some(AtWork { repeated: true, .. }) => Lineage::RepeatedWork,
-            Some(_) => Lineage::BegunWork,
-            None => Lineage::Caller,
+            Some(AtWork { repeated: true, .. }) => Initiator::RepeatedRun,
+            Some(_) => Initiator::LocalRun,
+            None => Initiator::Caller,
         }
     }
 }
--- a/crates/sidecar/src/jobs/endings.rs
+++ b/crates/sidecar/src/jobs/endings.rs
@@ -64,7 +64,7 @@
         };
         self.note_instance(job.given_to.as_ref(), outcome, response.status);
         if outcome == HopOutcome::Answered {
-            self.poison.ran_well(self.fingerprint(&job.request), now);
+            self.poison.note_completed(self.fingerprint(&job.request), now);
         }
         let upstream_ended =
             outcome == HopOutcome::Unknown && self.crash.has_ended(job.given_to.as_ref());
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -27,7 +27,7 @@
 mod transit;
 
 pub use call_metrics::{CallMetrics, JobMetrics};
-pub use calls::{Attempt, AttemptEnd, CallAction, CallCounts, CallId, Calls, Lineage, Origin};
+pub use calls::{Attempt, AttemptEnd, CallAction, CallCounts, CallId, Calls, Initiator, Origin};
 pub use config::Config;
 pub use currency::Currency;
 pub use dialect::{HeaderNames, RegistrationCall, RegistrationDialect, ToldLoad};
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -91,14 +91,14 @@
     }
 
     /// Takes in that the upstream ran a request and did not end.
-    pub fn ran_well(&self, fingerprint: Fingerprint, now: Millis) {
+    pub fn note_completed(&self, fingerprint: Fingerprint, now: Millis) {
         let mut known = self.0.borrow_mut();
         known.recent.note(fingerprint, now);
         known.clear(fingerprint, now);
     }
 
     /// Takes in what a coordinator passed on.
-    pub fn learn(&self, notices: Vec<PoisonNotice>, now: Millis) {
+    pub fn apply_notices(&self, notices: Vec<PoisonNotice>, now: Millis) {
         let mut known = self.0.borrow_mut();
         for PoisonNotice { age_ms, news } in notices {
             let at = now.saturating_sub(age_ms);
@@ -128,7 +128,7 @@
 
     /// Takes in that the sidecar beside an upstream keeps a call away from it, as it answered itself;
     /// returns whether it is right. It is not if it has yet to hear that the request was cleared.
-    pub fn note_kept_away(
+    pub fn note_quarantine_refusal(
         &self,
         service: &str,
         request: &Request,
@@ -146,7 +146,7 @@
     }
 
     /// What coordinators are to be told now.
-    pub fn take_untold(&self) -> Vec<PoisonNotice> {
+    pub fn take_unsent(&self) -> Vec<PoisonNotice> {
         let news = std::mem::take(&mut self.0.borrow_mut().untold);
         news.into_iter().map(|news| PoisonNotice { age_ms: 0, news }).collect()
     }
@@ -154,7 +154,7 @@
     /// What a coordinator is told that may have forgotten all, or was not there when it happened:
     /// what was in quarantine and was cleared, the ends of the upstream here, with the requests that
     /// nothing speaks for by now, and what is in quarantine.
-    pub fn all_known(&self, now: Millis) -> Vec<PoisonNotice> {
+    pub fn full_report(&self, now: Millis) -> Vec<PoisonNotice> {
         let known = self.0.borrow();
         let reports = known.own_reports.iter().filter_map(|(at, report)| {
             let news = PoisonNews::Crash(known.still_suspected(report, now)?);
--- a/crates/sidecar/src/quota.rs
+++ b/crates/sidecar/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas of tenants at this sidecar: which calls wait for a credit, and what was refused.
 
-use crate::calls::{Lineage, Origin};
+use crate::calls::{Initiator, Origin};
 use crate::net::ConnectionId;
 use crate::sample::LogSample;
 use crate::tenants::CompiledTenant;
@@ -14,7 +14,7 @@
 /// tenant may be gone by then.
 #[derive(Debug)]
 pub(crate) struct WaitingCall {
-    pub lineage: Lineage,
+    pub initiator: Initiator,
     pub origin: Origin,
     pub request: Request,
     pub arrived: Millis,
@@ -103,7 +103,7 @@
     }
 
     /// Does what is due now and then; `bounded`: whether any tenant has a limit.
-    pub fn keep_house(&mut self, bounded: bool, now: Millis) {
+    pub fn run_maintenance(&mut self, bounded: bool, now: Millis) {
         self.gate.set_bounded(bounded);
         self.gate.expire(now);
         let GateCounts { unanswered, alone, .. } = self.gate.counts;
--- a/crates/sidecar/src/runtime/dispatch.rs
+++ b/crates/sidecar/src/runtime/dispatch.rs
@@ -125,8 +125,9 @@
                         continue;
                     }
                     let id = request.headers.text(self.names.attempt_id).unwrap_or_default();
-                    let lineage = self.jobs.lineage(id);
-                    let actions = self.calls.begin_of(lineage, origin, request, &self.config, now);
+                    let initiator = self.jobs.initiator(id);
+                    let actions =
+                        self.calls.begin_from(initiator, origin, request, &self.config, now);
                     self.work.extend(actions.into_iter().map(Work::Call));
                 }
                 ServerKind::Peer => self.on_peer_request(id, slot, request, now),
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -263,7 +263,7 @@
         self.do_work();
         self.jobs.hedges_barred_until = self.calls.hedges_barred_until();
         self.acknowledge();
-        self.links.tell_poison(&mut self.net, self.poison.take_untold());
+        self.links.tell_poison(&mut self.net, self.poison.take_unsent());
         self.look_at_quotas(now);
         if now >= self.next_housekeeping {
             self.next_housekeeping = now + HOUSEKEEPING_MS;
@@ -363,7 +363,7 @@
         match news {
             LinkEvent::Welcome(last) => {
                 self.restore(last, now);
-                self.links.tell_poison(&mut self.net, self.poison.all_known(now));
+                self.links.tell_poison(&mut self.net, self.poison.full_report(now));
                 self.take_waiting_registrations(now);
             }
             LinkEvent::Config { generation, confirmed: false, update } => {
@@ -385,7 +385,7 @@
                     self.calls.view.note_load(&address, load, now);
                 }
             }
-            LinkEvent::Poison(notices) => self.poison.learn(notices, now),
+            LinkEvent::Poison(notices) => self.poison.apply_notices(notices, now),
             LinkEvent::Credits(answer) => self.calls.quota.answered(answer, now),
             LinkEvent::Versions(policies) => {
                 let own = policies.iter().find(|policy| policy.service == self.settings.service);
@@ -457,8 +457,8 @@
             self.links.tell_evidence(&mut self.net, evidence);
         }
         self.poison.expire(now);
-        self.calls.tell_repeats(now);
-        self.calls.quota.keep_house(self.config.tenants().any_limit(), now);
+        self.calls.report_repeats(now);
+        self.calls.quota.run_maintenance(self.config.tenants().any_limit(), now);
         self.want_config(now);
         if now >= RESTORE_WAIT_MS {
             self.take_waiting_registrations(now);
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use placement::{BudgetBounds, Locality};
 use sidecar::{
     Attempt, AttemptEnd, CallAction, CallMetrics, Calls, Config, ConnectionId, HeaderNames,
-    JobAction, Jobs, Lineage, LogSample, Origin,
+    Initiator, JobAction, Jobs, LogSample, Origin,
 };
 use std::net::Ipv4Addr;
 use telemetry::Registry;
@@ -95,7 +95,7 @@
         for host in 1..=3 {
             world.add_upstream(host);
         }
-        world.calls.tell_repeats(NODES_KNOWN_MS);
+        world.calls.report_repeats(NODES_KNOWN_MS);
         world
     }
 
@@ -115,7 +115,7 @@
         for host in 1..=count {
             world.add_upstream(host);
         }
-        world.calls.tell_repeats(NODES_KNOWN_MS);
+        world.calls.report_repeats(NODES_KNOWN_MS);
         world
     }
 
@@ -173,7 +173,7 @@
 
     /// A call that a run of the upstream beside waits for.
     pub fn begin_begun(&mut self, path: &str) -> Vec<CallAction> {
-        self.begin_request_of(Lineage::BegunWork, HOST, "GET", path, &[])
+        self.begin_request_of(Initiator::LocalRun, HOST, "GET", path, &[])
     }
 
     fn begin_request(
@@ -183,16 +183,16 @@
         path: &str,
         more: &[(&str, &str)],
     ) -> Vec<CallAction> {
-        self.begin_request_of(Lineage::Caller, host, method, path, more)
+        self.begin_request_of(Initiator::Caller, host, method, path, more)
     }
 
-    pub fn begin_of(&mut self, lineage: Lineage, path: &str) -> Vec<CallAction> {
-        self.begin_request_of(lineage, HOST, "GET", path, &[])
+    pub fn begin_from(&mut self, initiator: Initiator, path: &str) -> Vec<CallAction> {
+        self.begin_request_of(initiator, HOST, "GET", path, &[])
     }
 
     fn begin_request_of(
         &mut self,
-        lineage: Lineage,
+        initiator: Initiator,
         host: &str,
         method: &str,
         path: &str,
@@ -212,7 +212,7 @@
             body: Vec::new(),
         };
         let origin = Origin { connection: self.connection(), slot: self.next_slot };
-        self.calls.begin_of(lineage, origin, request, &self.config, self.now)
+        self.calls.begin_from(initiator, origin, request, &self.config, self.now)
     }
 }
 
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -136,7 +136,7 @@
     let told = replies(&found_alive(&mut node.jobs, 52));
     assert_eq!(told.len(), 1);
     assert!(told[0].outcome == HopOutcome::Unknown && !told[0].upstream_ended);
-    assert!(node.watch.take_untold().is_empty());
+    assert!(node.watch.take_unsent().is_empty());
     assert_eq!(node.watch.counts(60), (0, 0));
 }
 
@@ -149,7 +149,7 @@
     assert!(node.jobs.tick(149).is_empty());
     let told = replies(&node.jobs.tick(150));
     assert!(told.len() == 1 && !told[0].upstream_ended);
-    assert!(node.watch.take_untold().is_empty());
+    assert!(node.watch.take_unsent().is_empty());
 }
 
 #[test]
@@ -162,7 +162,7 @@
     assert!(told.len() == 2 && told.iter().all(|reply| reply.upstream_ended));
     let last = replies(&node.lose(jobs[2], 53));
     assert!(last.len() == 1 && last[0].upstream_ended, "it is known by now");
-    let reports = crashes(node.watch.take_untold());
+    let reports = crashes(node.watch.take_unsent());
     assert_eq!(reports.len(), 1);
     assert_eq!((reports[0].instance.as_str(), reports[0].running.len()), ("i-1", 3));
     // The next incarnation is another one.
@@ -178,11 +178,11 @@
     node.answer(popular, 40);
     let jobs = [node.run(2, "/popular", 50), node.run(3, "/rare", 50)];
     node.crash(&jobs, 90);
-    assert_eq!(crashes(node.watch.take_untold())[0].running.len(), 1);
+    assert_eq!(crashes(node.watch.take_unsent())[0].running.len(), 1);
     node.starts("i-2", 2);
     let again = node.run(4, "/popular", 100);
     node.crash(&[again], 120);
-    assert!(node.watch.take_untold().is_empty(), "there is nobody to suspect");
+    assert!(node.watch.take_unsent().is_empty(), "there is nobody to suspect");
 }
 
 #[test]
@@ -224,7 +224,7 @@
     node.run(1, "/a", 0);
     let told = replies(&node.jobs.tick(1_200));
     assert!(told.len() == 1 && !told[0].upstream_ended);
-    assert!(node.watch.take_untold().is_empty());
+    assert!(node.watch.take_unsent().is_empty());
 }
 
 fn learned(reports: &[(&str, &str)]) -> PoisonWatch {
@@ -241,7 +241,7 @@
         let report = CrashReport { node: NODE, instance: (*instance).to_owned(), running };
         PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }
     });
-    watch.learn(notices.collect(), common::START_MS);
+    watch.apply_notices(notices.collect(), common::START_MS);
     watch
 }
 
@@ -286,9 +286,10 @@
     let running = vec![fingerprint, Fingerprint(5)];
     let report = CrashReport { node: NODE, instance: "elsewhere".to_owned(), running };
     let crashes = vec![quarantine::crash_id(&report)];
-    node.watch.learn(vec![PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }], 100);
+    node.watch
+        .apply_notices(vec![PoisonNotice { age_ms: 0, news: PoisonNews::Crash(report) }], 100);
     let told: Vec<PoisonNews> =
-        node.watch.take_untold().into_iter().map(|notice| notice.news).collect();
+        node.watch.take_unsent().into_iter().map(|notice| notice.news).collect();
     assert_eq!(told, [PoisonNews::Cleared(Clearing { fingerprint, crashes })]);
 }
 
@@ -321,11 +322,11 @@
         node.crash(&[job], sequence * 10_000 + 50);
         if sequence == 3 {
             let fingerprint = fingerprint("/poison");
-            node.watch.ran_well(fingerprint, 30_060);
+            node.watch.note_completed(fingerprint, 30_060);
         }
     }
     let told: Vec<String> =
-        crashes(node.watch.take_untold()).into_iter().map(|report| report.instance).collect();
+        crashes(node.watch.take_unsent()).into_iter().map(|report| report.instance).collect();
     assert_eq!(told, ["i-1@1000", "i-1@2000", "i-1@3000"]);
     assert_eq!(node.watch.counts(40_060), (0, 1), "the third end speaks against it anew");
 }
@@ -346,7 +347,7 @@
     };
     let fingerprint = identity.fingerprint();
     let news = PoisonNews::Cleared(Clearing { fingerprint, crashes });
-    watch.learn(vec![PoisonNotice { age_ms: 0, news }], common::START_MS);
+    watch.apply_notices(vec![PoisonNotice { age_ms: 0, news }], common::START_MS);
     let (attempt, _) = sent(&world.begin("GET", "/safe/poison")).expect("it is sent");
     let AttemptEnd::Replied(reply, response) = replied(HopOutcome::Refused, 503) else {
         panic!("it is a reply")
@@ -404,7 +405,7 @@
     assert!(matches!(node.jobs.tick(55)[..], [JobAction::Probe { again: true }]));
     let told = replies(&node.jobs.probed(false, 55));
     assert!(told.len() == 2 && told.iter().all(|reply| reply.upstream_ended));
-    assert_eq!(crashes(node.watch.take_untold())[0].running.len(), 2);
+    assert_eq!(crashes(node.watch.take_unsent())[0].running.len(), 2);
 }
 
 /// All coordinators were gone when it ended; and what they are told must not accuse the cleared.
@@ -413,15 +414,15 @@
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0)];
     node.crash(&jobs, 50);
-    node.watch.take_untold();
+    node.watch.take_unsent();
     node.starts("i-2", 2);
     let good = node.run(3, "/a", 100);
     node.answer(good, 140);
-    let told = node.watch.all_known(1_050);
+    let told = node.watch.full_report(1_050);
     assert_eq!(told.iter().map(|notice| notice.age_ms).collect::<Vec<u64>>(), [1_000]);
     let reports = crashes(told);
     assert_eq!((reports[0].instance.as_str(), reports[0].running.len()), ("i-1", 1));
     node.watch.expire(11 * 60_000);
-    assert!(node.watch.all_known(11 * 60_000).is_empty(), "it is too old to tell anything");
+    assert!(node.watch.full_report(11 * 60_000).is_empty(), "it is too old to tell anything");
     assert_eq!(node.watch.counts(11 * 60_000), (0, 0));
 }
--- a/crates/sidecar/tests/hedge.rs
+++ b/crates/sidecar/tests/hedge.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use http1::Response;
 use mesh::{HopOutcome, HopReply, NodeAddress, UpstreamLoad};
-use sidecar::{Attempt, AttemptEnd, CallAction, Lineage};
+use sidecar::{Attempt, AttemptEnd, CallAction, Initiator};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 
@@ -335,7 +335,7 @@
     }
     let mut until = Vec::new();
     for _ in 0..5 {
-        let actions = world.begin_of(Lineage::RepeatedWork, "/inner/1");
+        let actions = world.begin_from(Initiator::RepeatedRun, "/inner/1");
         assert!(sent(&actions).is_some(), "begun work is not refused for it");
         until.push(world.calls.hedges_barred_until());
     }
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -8,7 +8,7 @@
 use http1::{Answer, ExchangeError, Headers, Request, Response};
 use mesh::{HopOutcome, HopRequest, InstanceRecord, InstanceState};
 use sidecar::{
-    ConnectionId, JobAction, JobMetrics, Jobs, Lineage, LogSample, Source, ToldLoad, UpstreamEnd,
+    ConnectionId, Initiator, JobAction, JobMetrics, Jobs, LogSample, Source, ToldLoad, UpstreamEnd,
 };
 use std::rc::Rc;
 use telemetry::Registry;
@@ -298,11 +298,11 @@
 #[test]
 fn calls_of_a_run_are_told_by_its_id_while_it_is_under_way() {
     let mut jobs = jobs();
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "nothing runs yet");
+    assert_eq!(jobs.initiator("7.ab"), Initiator::Caller, "nothing runs yet");
     let (first, _) = started(&begin(&mut jobs, 1, 0)).map(|(id, _)| (id, ())).expect("runs");
     begin(&mut jobs, 2, 0);
     assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
-    let told = ["7", "7.ab", "7.ab.cd", "8.ab", ".ab", ""].map(|id| (id, jobs.lineage(id)));
+    let told = ["7", "7.ab", "7.ab.cd", "8.ab", ".ab", ""].map(|id| (id, jobs.initiator(id)));
     expect![[r#"
         [
             (
@@ -311,7 +311,7 @@
             ),
             (
                 "7.ab",
-                BegunWork,
+                LocalRun,
             ),
             (
                 "7.ab.cd",
@@ -334,9 +334,9 @@
     .assert_debug_eq(&told);
     let answer = Answer { response: sealed(200), reusable: true };
     jobs.ended(first, UpstreamEnd::Answered(answer), 10);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::BegunWork, "another run of that id goes on");
+    assert_eq!(jobs.initiator("7.ab"), Initiator::LocalRun, "another run of that id goes on");
     jobs.connection_ended(ConnectionId::for_tests(1), 20);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "its run is over");
+    assert_eq!(jobs.initiator("7.ab"), Initiator::Caller, "its run is over");
 }
 
 #[test]
@@ -344,13 +344,13 @@
     let mut jobs = jobs();
     let repeated = HopRequest { repeat: true, ..hop(SERVICE, Some("i-1")) };
     let first = jobs.begin(source(1), request(), &repeated, 0);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::RepeatedWork);
+    assert_eq!(jobs.initiator("7.ab"), Initiator::RepeatedRun);
     let (id, _) = started(&first).expect("runs");
     let answer = Answer { response: sealed(200), reusable: true };
     jobs.ended(id, UpstreamEnd::Answered(answer), 10);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "its run is over");
+    assert_eq!(jobs.initiator("7.ab"), Initiator::Caller, "its run is over");
     begin(&mut jobs, 2, 20);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::BegunWork, "a first run of that id");
+    assert_eq!(jobs.initiator("7.ab"), Initiator::LocalRun, "a first run of that id");
 }
 
 #[test]
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -249,11 +249,11 @@
             let quarantine_crashes = self.watches[upstream].newest_crashes(SERVICE, &request());
             let quarantine_left_ms = left_ms as u32;
             let refusal = HopReply { quarantine_left_ms, quarantine_crashes, ..refusal() };
-            self.watches[caller].note_kept_away(SERVICE, &request(), &refusal, self.now);
+            self.watches[caller].note_quarantine_refusal(SERVICE, &request(), &refusal, self.now);
             return;
         }
         if self.mended {
-            self.watches[upstream].ran_well(poison(), self.now);
+            self.watches[upstream].note_completed(poison(), self.now);
             return;
         }
         self.crashes += 1;
@@ -284,7 +284,7 @@
                 }
                 self.open(here, there);
                 self.open(there, here);
-                let known = self.watches[sidecar].all_known(now);
+                let known = self.watches[sidecar].full_report(now);
                 self.send(here, there, known);
             }
             self.subscribe(sidecar);
@@ -359,7 +359,7 @@
             match frame.to {
                 Node::Sidecar(sidecar) => {
                     info!(at_ms = self.now, sidecar, from = ?frame.from, "told");
-                    self.watches[sidecar].learn(frame.notices, self.now);
+                    self.watches[sidecar].apply_notices(frame.notices, self.now);
                 }
                 Node::Coordinator(coordinator) => {
                     let here = matches!(frame.from, Node::Sidecar(_));
@@ -376,7 +376,7 @@
 
     fn tell(&mut self) {
         for sidecar in 0..SIDECARS {
-            let untold = self.watches[sidecar].take_untold();
+            let untold = self.watches[sidecar].take_unsent();
             for coordinator in self.linked[sidecar].clone() {
                 self.send(Node::Sidecar(sidecar), Node::Coordinator(coordinator), untold.clone());
             }
--- a/crates/sidecar/tests/quotas.rs
+++ b/crates/sidecar/tests/quotas.rs
@@ -31,7 +31,7 @@
     world.confirm(2);
     world.calls.note_configuration(&world.config, world.now);
     world.calls.quota.set_linked(true);
-    world.calls.quota.keep_house(rate_milli > 0, world.now);
+    world.calls.quota.run_maintenance(rate_milli > 0, world.now);
     world
 }
 
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -176,8 +176,8 @@
         let request = Request { method, target, headers, body: Vec::new() };
         let origin = sidecar::Origin { connection: world.connection(), slot };
         let (config, now) = (&world.config, world.now);
-        let lineage = sidecar::Lineage::BegunWork;
-        let actions = world.calls.begin_of(lineage, origin, request, config, now);
+        let initiator = sidecar::Initiator::LocalRun;
+        let actions = world.calls.begin_from(initiator, origin, request, config, now);
         assert_eq!(told(&actions), expected, "{path}");
     }
 }
