--- a/crates/chutecove/src/dialect.rs
+++ b/crates/chutecove/src/dialect.rs
@@ -5,7 +5,7 @@
 use mesh::{Fingerprint, Incarnation, InstanceRecord, InstanceState, QuarantineEntry};
 use rollout::{CanaryRecord, EvacuationRecord};
 use serde::{Deserialize, Serialize};
-use sidecar::{HeaderNames, RegistrationCall, RegistrationDialect, ToldLoad};
+use sidecar::{HeaderNames, RegistrationCall, RegistrationDialect, ReportedLoad};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Header names between callers, sidecars and upstreams.
@@ -81,7 +81,7 @@
         })
     }
 
-    fn read_load(&self, _value: &str) -> Option<ToldLoad> {
+    fn read_load(&self, _value: &str) -> Option<ReportedLoad> {
         // The product's own upstreams tell nothing of their load.
         None
     }
--- a/crates/sidecar/examples/tenant_cost.rs
+++ b/crates/sidecar/examples/tenant_cost.rs
@@ -121,7 +121,7 @@
     let (routes, changed) = updates(tenants);
     let route_ms = changes(&mut config, &routes);
     let tenant_ms = changes(&mut config, &changed);
-    config.currency.note(0, config.generation());
+    config.freshness.note(0, config.generation());
     println!(
         "{tenants} tenants: first {first_ms:.1} ms, {kb} kB ({} bytes on the wire); a changed route \
          {route_ms:.2} ms, a changed tenant {tenant_ms:.2} ms; a call {:.2} us, one denied {:.2} us",
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -165,7 +165,7 @@
         let route = call.route.clone();
         let arrived = call.arrived;
         let moved_bytes = (call.request.body.len() + response.body.len()) as f64;
-        if self.sample.takes(&call.attempt_id) {
+        if self.sample.includes(&call.attempt_id) {
             info!(
                 id = %call.attempt_id, %to, try_number = attempt.number, outcome = ?reply.outcome,
                 status = response.status, running = reply.running, queued = reply.queued,
--- a/crates/sidecar/src/calls/hedge.rs
+++ b/crates/sidecar/src/calls/hedge.rs
@@ -103,7 +103,7 @@
         call.hedge = Some(Try { attempt, to, since: now });
         call.tried.push(to);
         let request = call.request.clone();
-        if self.sample.takes(&call.attempt_id) {
+        if self.sample.includes(&call.attempt_id) {
             info!(
                 id = %call.attempt_id, route = %call.route, %service, first = %first.to, %to,
                 first_ms = now.saturating_sub(first.since), usual_ms = usual_ms as u64,
@@ -135,7 +135,7 @@
         };
         let won = winner.number > attempt.number;
         let spent_ms = now.saturating_sub(since);
-        if self.sample.takes(&call.attempt_id) {
+        if self.sample.includes(&call.attempt_id) {
             info!(
                 id = %call.attempt_id, route = %call.route, won, loser = %to,
                 loser_ms = spent_ms, held_ms = now.saturating_sub(call.arrived), "call_hedge_ended"
--- a/crates/sidecar/src/calls/keys.rs
+++ b/crates/sidecar/src/calls/keys.rs
@@ -29,7 +29,7 @@
     ) -> CallAction {
         let id = request.headers.text(self.names.attempt_id).unwrap_or("-");
         let (generation, current) = (config.generation(), config.is_current(now));
-        if self.denials_logged.takes(now) || self.sample.takes(id) {
+        if self.denials_logged.allows(now) || self.sample.includes(id) {
             let shown = request.headers.get(self.names.api_key);
             let key = shown.map(|key| KeyFingerprint::of(key.trim_ascii()).to_string());
             let key = key.as_deref().unwrap_or("-");
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -32,7 +32,7 @@
 use tracing::info;
 
 use crate::net::ConnectionId;
-use crate::sample::{LogAllowance, LogSample};
+use crate::sample::{LogRateLimit, LogSample};
 use crate::Millis;
 
 /// Names a call on this node.
@@ -203,7 +203,7 @@
     next_call: CallId,
     /// Generation by which the keys of all calls were looked up.
     keys_checked: u64,
-    denials_logged: LogAllowance,
+    denials_logged: LogRateLimit,
     /// Totals since the start.
     pub counts: CallCounts,
 }
@@ -246,7 +246,7 @@
             repeats_told_at: 0,
             next_call: 1,
             keys_checked: 0,
-            denials_logged: LogAllowance::new(DENIALS_LOGGED_A_SECOND),
+            denials_logged: LogRateLimit::new(DENIALS_LOGGED_A_SECOND),
             counts: CallCounts::default(),
         }
     }
@@ -403,7 +403,7 @@
         route: &str,
         left_ms: u64,
     ) -> CallAction {
-        if self.sample.takes(id) {
+        if self.sample.includes(id) {
             info!(%id, %route, reason = "quarantined", left_ms, verdict = "not-run", "call_refused");
         }
         self.counts.refused += 1;
@@ -434,7 +434,7 @@
     ) -> CallAction {
         let host = request.headers.text("host").unwrap_or_default();
         let (path, generation) = (request.path(), config.generation());
-        let (current, confirmed_ms_ago) = (config.is_current(now), config.currency.age_ms(now));
+        let (current, confirmed_ms_ago) = (config.is_current(now), config.freshness.age_ms(now));
         info!(%id, %host, %path, generation, current, ?confirmed_ms_ago, "call_without_route");
         if current {
             return CallAction::Answer { origin, response: Response::empty(404) };
--- a/crates/sidecar/src/calls/placing.rs
+++ b/crates/sidecar/src/calls/placing.rs
@@ -129,7 +129,7 @@
                 self.quota.charge(&holder.tenant, now);
             }
         }
-        if self.sample.takes(&call.attempt_id) {
+        if self.sample.includes(&call.attempt_id) {
             info!(
                 id = %call.attempt_id, route = %call.route, service = %call.service,
                 rank = call.rank, target_ms = call.target_ms, try_number = call.tries,
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration in force on this node.
 
-use crate::currency::Currency;
+use crate::currency::ConfigFreshness;
 use crate::tenants::{KeyDigester, KeyHolder, KeyProblem, Tenants};
 use crate::Millis;
 use bundle::{Bundle, BundleUpdate, CallLimits, ColdStart, Digest, SealKeys, Service};
@@ -30,7 +30,7 @@
     prepared: Option<Prepared>,
     limits: CallLimits,
     /// What coordinators say of the newest generation.
-    pub currency: Currency,
+    pub freshness: ConfigFreshness,
 }
 
 impl Config {
@@ -101,7 +101,7 @@
 
     /// Whether what is held is known to be the newest, or was a moment ago.
     pub fn is_current(&self, now: Millis) -> bool {
-        self.currency.confirms(self.generation(), now)
+        self.freshness.confirms(self.generation(), now)
     }
 
     /// Applies a generation; true if it is in force now.
--- a/crates/sidecar/src/currency.rs
+++ b/crates/sidecar/src/currency.rs
@@ -11,12 +11,12 @@
 
 /// What coordinators said of the newest generation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Currency {
+pub struct ConfigFreshness {
     newest: u64,
     asked_at: Option<Millis>,
 }
 
-impl Currency {
+impl ConfigFreshness {
     /// Takes in an answer; a generation of 0 is none.
     pub fn note(&mut self, asked_at: Millis, generation: u64) {
         if generation == 0 {
--- a/crates/sidecar/src/dialect.rs
+++ b/crates/sidecar/src/dialect.rs
@@ -28,7 +28,7 @@
 
 /// What an upstream tells of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -70,7 +70,7 @@
 
     /// Reads what an upstream tells of its load with an answer; `None` if it tells nothing, or nothing
     /// that can be read.
-    fn read_load(&self, value: &str) -> Option<ToldLoad>;
+    fn read_load(&self, value: &str) -> Option<ReportedLoad>;
 
     /// Path of the readiness check.
     fn ready_path(&self) -> &'static str;
--- a/crates/sidecar/src/jobs/endings.rs
+++ b/crates/sidecar/src/jobs/endings.rs
@@ -52,7 +52,7 @@
         }
         self.admission.release(telling.then_some(spent_ms));
         let ordinary = outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS;
-        if !ordinary || self.sample.takes(&job.attempt_id) {
+        if !ordinary || self.sample.includes(&job.attempt_id) {
             info!(
                 id = %job.attempt_id, ?outcome, status = response.status, spent_ms,
                 running = self.admission.running(), queued = self.admission.queued(), "job_ended"
--- a/crates/sidecar/src/jobs/mod.rs
+++ b/crates/sidecar/src/jobs/mod.rs
@@ -16,7 +16,7 @@
 use self::trial::Trial;
 use crate::call_metrics::JobMetrics;
 use crate::calls::Attempt;
-use crate::dialect::{HeaderNames, ToldLoad};
+use crate::dialect::{HeaderNames, ReportedLoad};
 use crate::net::ConnectionId;
 use crate::poison::{self, PoisonWatch};
 use crate::sample::LogSample;
@@ -276,7 +276,7 @@
     }
 
     /// Takes in what the upstream told of its load with an answer.
-    pub fn note_told(&mut self, told: ToldLoad, now: Millis) {
+    pub fn note_told(&mut self, told: ReportedLoad, now: Millis) {
         if let Some(percent) = told.pace_percent {
             self.pace.note_figure(percent, now);
         }
@@ -467,7 +467,7 @@
         }
         let waited_ms = now.saturating_sub(job.arrived);
         self.metrics.note_start(waited_ms);
-        if self.sample.takes(&job.attempt_id) {
+        if self.sample.includes(&job.attempt_id) {
             info!(
                 id = %job.attempt_id, instance = ?self.gate.id(), waited_ms, left_ms = left,
                 running = self.admission.running(), limit = self.admission.limit(), "job_started"
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -29,8 +29,8 @@
 pub use call_metrics::{CallMetrics, JobMetrics};
 pub use calls::{Attempt, AttemptEnd, CallAction, CallCounts, CallId, Calls, Lineage, Origin};
 pub use config::Config;
-pub use currency::Currency;
-pub use dialect::{HeaderNames, RegistrationCall, RegistrationDialect, ToldLoad};
+pub use currency::ConfigFreshness;
+pub use dialect::{HeaderNames, RegistrationCall, RegistrationDialect, ReportedLoad};
 pub use jobs::{JobAction, Jobs, Source, UpstreamEnd};
 pub use link_meter::{LinkChange, LinkMeter, LinkWatch};
 pub use links::{chosen as chosen_coordinators, LinkEvent, Links};
@@ -39,7 +39,7 @@
 pub use quota::Quota;
 pub use registrar::{PendingAcknowledgement, Registrar};
 pub use runtime::{run, SidecarError};
-pub use sample::{LogAllowance, LogSample};
+pub use sample::{LogRateLimit, LogSample};
 pub use stop::{Activity, StopPhase, StopPlan};
 pub use tenants::{
     combined_rank, CompiledTenant, KeyDigest, KeyDigester, KeyHolder, KeyProblem, Tenants,
--- a/crates/sidecar/src/quota.rs
+++ b/crates/sidecar/src/quota.rs
@@ -121,7 +121,7 @@
 
     /// Logs a refusal.
     pub(crate) fn log_refused(&self, id: &str, tenant: &CompiledTenant, refusal: Refusal) {
-        if !self.sample.takes(id) {
+        if !self.sample.includes(id) {
             return;
         }
         let Refusal { retry_after_ms, told_ms_ago } = refusal;
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -349,7 +349,7 @@
             link_refusals: self.jobs.link_refusals(),
             cold_refusals: self.jobs.cold_refusals(),
             failing_percent: self.jobs.failing_percent(self.now()),
-            confirmed_ms: self.config.currency.age_ms(self.now()),
+            confirmed_ms: self.config.freshness.age_ms(self.now()),
             upstreams: self.calls.view.live_and_others(),
             tenants: self.config.tenants().iter().count(),
             quota: self.calls.quota.counts(),
@@ -375,7 +375,7 @@
                 self.links.applied(&mut self.net, generation, digest, now);
             }
             LinkEvent::Newest { asked_at, generation } => {
-                self.config.currency.note(asked_at, generation);
+                self.config.freshness.note(asked_at, generation);
             }
             LinkEvent::Node(record) => {
                 self.calls.view.update(record, now);
--- a/crates/sidecar/src/sample.rs
+++ b/crates/sidecar/src/sample.rs
@@ -15,7 +15,7 @@
     }
 
     /// Whether the call with this id is taken.
-    pub fn takes(self, id: &str) -> bool {
+    pub fn includes(self, id: &str) -> bool {
         u64::from(crc32fast::hash(id.as_bytes())).is_multiple_of(self.one_of)
     }
 }
@@ -25,20 +25,20 @@
 /// A few lines a second, so that each event is logged while there are few, and a flood of them takes
 /// no room from others.
 #[derive(Clone, Copy, Debug)]
-pub struct LogAllowance {
+pub struct LogRateLimit {
     lines_per_second: u32,
     second: Millis,
     used: u32,
 }
 
-impl LogAllowance {
+impl LogRateLimit {
     /// Allows so many lines in each second.
     pub fn new(lines_per_second: u32) -> Self {
-        LogAllowance { lines_per_second, second: 0, used: 0 }
+        LogRateLimit { lines_per_second, second: 0, used: 0 }
     }
 
     /// Whether one more line may be written.
-    pub fn takes(&mut self, now: Millis) -> bool {
+    pub fn allows(&mut self, now: Millis) -> bool {
         let second = now / MS_PER_SECOND;
         if self.second != second {
             (self.second, self.used) = (second, 0);
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -126,7 +126,7 @@
 
     /// A coordinator says which generation is the newest.
     pub fn confirm(&mut self, generation: u64) {
-        self.config.currency.note(self.now, generation);
+        self.config.freshness.note(self.now, generation);
     }
 
     pub fn add_upstream(&mut self, host: u8) {
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -8,7 +8,8 @@
 use http1::{Answer, ExchangeError, Headers, Request, Response};
 use mesh::{HopOutcome, HopRequest, InstanceRecord, InstanceState};
 use sidecar::{
-    ConnectionId, JobAction, JobMetrics, Jobs, Lineage, LogSample, Source, ToldLoad, UpstreamEnd,
+    ConnectionId, JobAction, JobMetrics, Jobs, Lineage, LogSample, ReportedLoad, Source,
+    UpstreamEnd,
 };
 use std::rc::Rc;
 use telemetry::Registry;
@@ -364,8 +365,8 @@
     assert!(started(&jobs.begin(source(3), request(), &hedge, 500)).is_some());
 }
 
-fn told(running: u32, waiting: u32, pace_percent: Option<u32>) -> ToldLoad {
-    ToldLoad { running, waiting, slots: SLOTS, pace_percent }
+fn told(running: u32, waiting: u32, pace_percent: Option<u32>) -> ReportedLoad {
+    ReportedLoad { running, waiting, slots: SLOTS, pace_percent }
 }
 
 #[test]
