--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -1,12 +1,13 @@
-//! How many calls one node may send a second time.
+//! Retry budget: limits how many calls one node may send again.
 //!
-//! The bound holds for the fleet over any window, however often processes end meanwhile. So a node
-//! spends what its requests earn: a part of it may be saved and spent at once, the rest comes with
-//! each request, and a process starts with nothing. A part of what is granted besides comes with
-//! time, once it is known by how many nodes it is shared.
+//! The limit holds for the whole fleet over any window, however often processes restart meanwhile.
+//! A node therefore spends only what its requests earn: part of that may accumulate and be spent at
+//! once, the rest comes with each request, and a new process starts with an empty balance. A share
+//! of the slack is granted over time, once the process knows how many nodes share it.
 //!
-//! While upstreams turn many calls away, all would be spent on whichever call comes first; calls that
-//! runs wait for keep what they earned, since each of them that fails wastes the slot of its run.
+//! While upstreams refuse many calls, the first calls to arrive would use up the whole budget.
+//! Calls made by running requests therefore keep what they earned, since each of them that fails
+//! wastes the slot of the request that made it.
 
 mod account;
 
@@ -15,77 +16,77 @@
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// The fleet's bound for each service.
+/// Fleet-wide limit on retries, which applies to each service separately.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetBounds {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats granted besides, over the whole fleet.
+    /// Retries granted to the whole fleet in addition, per window.
     pub slack: f64,
     /// Length of the window, milliseconds.
     pub window_ms: u64,
 }
 
-/// Who asks for a call.
+/// Origin of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// A caller, whose work is new.
+    /// A client that starts new work.
     Caller,
-    /// A run that holds a slot until the call ends.
+    /// A request that an upstream is executing; it holds a slot until the call ends.
     RunningRequest,
 }
 
-/// What a node did about repeats at one service, in a span.
+/// Requests and retries at one service since the counts were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    /// Requests noted.
+    /// Requests recorded.
     pub requests: u32,
-    /// Arrivals past the first of a request.
+    /// Attempts beyond the first of each request, hedges included.
     pub retries: u32,
-    /// Those of them that were hedged second tries.
+    /// Those of the retries that were hedges.
     pub hedges: u32,
-    /// Times that a repeat was not allowed; one call may ask more than once.
+    /// Number of times a retry was denied; one call may be denied more than once.
     pub refused: u32,
 }
 
-/// What one node may send again to each service.
+/// Retry budget of one node, by service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     bounds: BudgetBounds,
     fleet: FleetSize,
     accounts: BTreeMap<String, Account>,
-    tallies: BTreeMap<String, RetryCounts>,
+    counts: BTreeMap<String, RetryCounts>,
 }
 
 impl RetryBudget {
-    /// The budget of a process that has just started.
+    /// Creates the budget of a process that has just started.
     pub fn new(bounds: BudgetBounds) -> Self {
         RetryBudget {
             bounds,
             fleet: FleetSize::default(),
             accounts: BTreeMap::new(),
-            tallies: BTreeMap::new(),
+            counts: BTreeMap::new(),
         }
     }
 
-    /// Takes in how many nodes are known now.
+    /// Updates the number of known nodes.
     pub fn note_nodes(&mut self, nodes: usize, now: Millis) {
         self.fleet.note(nodes, now);
     }
 
-    /// What was done at each service since this was last asked.
+    /// Returns the counts by service since the last call, and resets them.
     pub fn take_counts(&mut self) -> BTreeMap<String, RetryCounts> {
-        std::mem::take(&mut self.tallies)
+        std::mem::take(&mut self.counts)
     }
 
-    fn tally(&mut self, service: &str) -> &mut RetryCounts {
-        if !self.tallies.contains_key(service) {
-            self.tallies.insert(service.to_owned(), RetryCounts::default());
+    fn counts(&mut self, service: &str) -> &mut RetryCounts {
+        if !self.counts.contains_key(service) {
+            self.counts.insert(service.to_owned(), RetryCounts::default());
         }
-        self.tallies.get_mut(service).expect("inserted above")
+        self.counts.get_mut(service).expect("inserted above")
     }
 
-    /// This node's share of the slack.
+    /// This node's share of the slack; 0 until the size of the fleet is known.
     fn share(&self, now: Millis) -> f64 {
         self.fleet.sharers(now).map_or(0.0, |sharers| self.bounds.slack / sharers as f64)
     }
@@ -98,7 +99,7 @@
         self.accounts.get_mut(service).expect("inserted above")
     }
 
-    /// What may be spent at a service now.
+    /// Returns the account of a service, refilled up to now.
     fn refilled(&mut self, service: &str, now: Millis) -> &mut Account {
         let (bounds, share) = (self.bounds, self.share(now));
         let account = self.account(service, now);
@@ -106,51 +107,52 @@
         account
     }
 
-    /// Notes a request.
-    pub fn note_request(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
-        self.tally(service).requests += 1;
+    /// Records a request.
+    pub fn note_request(&mut self, service: &str, origin: RequestOrigin, now: Millis) {
+        self.counts(service).requests += 1;
         let (bounds, share) = (self.bounds, self.share(now));
-        self.account(service, now).earn(asked_by, &bounds, share, now);
+        self.account(service, now).earn(origin, &bounds, share, now);
     }
 
-    /// Notes an arrival at an upstream past the first of its request.
-    pub fn note_retry(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
-        self.tally(service).retries += 1;
-        self.refilled(service, now).spend(asked_by);
+    /// Records an attempt beyond the first of its request.
+    pub fn note_retry(&mut self, service: &str, origin: RequestOrigin, now: Millis) {
+        self.counts(service).retries += 1;
+        self.refilled(service, now).spend(origin);
     }
 
-    /// Notes a hedged second try, which counts as a repeat.
-    pub fn note_hedge(&mut self, service: &str, asked_by: RequestOrigin, now: Millis) {
-        self.note_retry(service, asked_by, now);
-        self.tally(service).hedges += 1;
+    /// Records a hedge, which also counts as a retry.
+    pub fn note_hedge(&mut self, service: &str, origin: RequestOrigin, now: Millis) {
+        self.note_retry(service, origin, now);
+        self.counts(service).hedges += 1;
         self.refilled(service, now).spend_on_hedge();
     }
 
-    /// Whether one more hedged second try fits, while `nodes` nodes are known.
+    /// Whether one more hedge is within the budget, given the number of known nodes.
     pub fn allows_hedge(
         &mut self,
         service: &str,
-        asked_by: RequestOrigin,
+        origin: RequestOrigin,
         nodes: usize,
         now: Millis,
     ) -> bool {
         self.note_nodes(nodes, now);
-        self.refilled(service, now).left_for_hedges() >= 1.0
-            && self.allows(service, asked_by, nodes, now)
+        self.refilled(service, now).hedge_balance() >= 1.0
+            && self.allows(service, origin, nodes, now)
     }
 
-    /// Whether one more repeat fits, while `nodes` nodes are known. Runs may use all that is left,
-    /// callers all but what the requests of runs earned and have not used.
+    /// Whether one more retry is within the budget, given the number of known nodes. Calls made by
+    /// running requests may use the whole balance; callers may use all but the unused part that
+    /// those calls earned.
     pub fn allows(
         &mut self,
         service: &str,
-        asked_by: RequestOrigin,
+        origin: RequestOrigin,
         nodes: usize,
         now: Millis,
     ) -> bool {
         self.note_nodes(nodes, now);
-        let allowed = self.refilled(service, now).left(asked_by) >= 1.0;
-        self.tally(service).refused += u32::from(!allowed);
+        let allowed = self.refilled(service, now).balance(origin) >= 1.0;
+        self.counts(service).refused += u32::from(!allowed);
         allowed
     }
 }
--- a/crates/placement/src/canary_share.rs
+++ b/crates/placement/src/canary_share.rs
@@ -1,17 +1,17 @@
-//! Which calls of a service belong to the share of a canary.
+//! Selection of the calls that go to a canary.
 
 use mesh::{CandidateShare, Track, WHOLE_PERMILLE};
 use std::collections::BTreeMap;
 
-/// Shares of one node, exact over any run of calls; nodes begin at different places, so that the
-/// fleet's sum is close to exact as well.
+/// Per-service credits of one node, which make the share exact over any run of calls. Nodes start
+/// with random credits, so that the fleet-wide share is close to exact as well.
 #[derive(Clone, Debug, Default)]
 pub struct CanaryShares {
     credits: BTreeMap<String, u16>,
 }
 
 impl CanaryShares {
-    /// The track of the next call of a service with this canary.
+    /// Picks the track of the next call of a service with this canary.
     pub fn draw(
         &mut self,
         service: &str,
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,115 +1,123 @@
-//! The choice among the upstreams of a service.
+//! Selection of an upstream among those of a service.
 
 use crate::locality::link_cost;
 use crate::service_keys::ServiceKeys;
-use crate::upstream::Expected;
+use crate::upstream::ExpectedLatency;
 use crate::{Distance, LatencyHistogram, Millis, PlacementView, Upstream, UpstreamKey, Urgency};
 use mesh::Track;
 
-/// Share of failures that may be chance, or the fault of others that all need.
-const FAILING_BORNE: f64 = 0.15;
-/// What a failed call costs, where one is an answer that is certainly late. All upstreams of a
-/// service that fails alike pay the same, so only those that fail more than others are avoided.
+/// Failure rate that may be due to chance, or to a dependency that all upstreams share.
+const TOLERATED_FAILURE_RATE: f64 = 0.15;
+/// Cost of a failed call, where 1 is an answer that is certainly late. If all upstreams of a
+/// service fail at the same rate, all pay the same, so only those that fail more than others are
+/// avoided.
 const FAILURE_COST: f64 = 1.0;
-/// What it costs to find no slot free: the call waits or is refused, and few more upstreams are asked.
-/// Without it all senders go to the quickest upstreams by loads some tenths of a second old, and
-/// their calls are refused there while slower ones are idle.
-const FULL_COST: f64 = 0.1;
-/// Weight of the expected time itself, so that of equal risks the faster is taken.
+/// Cost of finding no free slot: the call waits or is refused, and only few more upstreams are
+/// tried. Without it, all senders pick the fastest upstreams by loads that are some tenths of a
+/// second old, and are refused there while slower upstreams are idle.
+const NO_SLOT_COST: f64 = 0.1;
+/// Weight of the expected latency itself, so that of equal risks the faster upstream wins.
 const TIME_COST: f64 = 0.03;
-/// What each part of the time left costs by which an answer is expected to come too late: where all
-/// are late, a call goes where it is over soonest.
+/// Cost of exceeding the target, per multiple of the remaining time: if all upstreams would be
+/// late, the call goes to the one that finishes it soonest.
 const OVERDUE_COST: f64 = 1.0;
-/// Part of the expected time by which choices are varied, so that nodes do not choose alike.
-const VARIATION: f64 = 0.15;
-/// Part of the expected time on a link by which choices are varied: all nodes are told the same
-/// wait at the same time, and one that looks least busy to all of them is full a moment later.
-const LINK_VARIATION: f64 = 1.0;
-/// Answers longer than this are counted against links, bytes: shorter ones do not wait for them.
+/// Random variation of the expected latency, as a fraction of it, so that nodes do not all pick the
+/// same upstream.
+const LATENCY_JITTER: f64 = 0.15;
+/// Random variation of the expected transfer time, as a fraction of it. All nodes receive the same
+/// reported wait at the same time, so the link that looks least busy to all of them would be full a
+/// moment later.
+const LINK_JITTER: f64 = 1.0;
+/// Response length above which the wait for links is considered, bytes; shorter responses do not
+/// queue for them.
 const LARGE_ANSWER_BYTES: f64 = 4.0 * 1024.0;
-/// Slots that an upstream must have free, by what it told, to be taken for idle: one may be taken by a
-/// call that is on its way, since loads are some tenths of a second old.
+/// Minimum number of free slots, by the reported load, for an upstream to count as idle. One slot
+/// of margin allows for a call on its way, since loads are some tenths of a second old.
 const IDLE_SLOTS: f64 = 2.0;
 
-/// What a choice depends on.
+/// Inputs of the selection of an upstream for a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The service.
+    /// Service to call.
     pub service: &'a str,
-    /// Whether it belongs to the share of a canary; without an upstream for it, it goes to those in
-    /// use.
+    /// Whether the call is part of a canary's share. If no upstream of the canary is available, it
+    /// goes to a stable one.
     pub track: Track,
-    /// How urgent it is.
+    /// Urgency of the call.
     pub urgency: Urgency,
-    /// What the call takes at an upstream of average speed, milliseconds.
+    /// Expected latency at an upstream of average speed, milliseconds.
     pub usual_ms: f64,
-    /// How the times of its like are spread around that.
+    /// Distribution of the route's latencies relative to that.
     pub spread: &'a LatencyHistogram,
-    /// What such a call and its answer move over links, bytes.
+    /// Expected bytes of the request and response bodies.
     pub moved_bytes: f64,
-    /// Time left until its answer is worth less, milliseconds.
+    /// Remaining time until the target latency, milliseconds.
     pub target_ms: f64,
-    /// Length of its body, bytes.
+    /// Length of the request body, bytes.
     pub body_bytes: usize,
-    /// Upstreams that had it or refused it.
+    /// Upstreams that already received or refused the call.
     pub tried: &'a [UpstreamKey],
 }
 
-/// How the links of upstreams' machines take part in a choice.
+/// How the links of the upstreams' machines affect the selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Links {
-    /// Their waits are part of the expected time, and full ones bar large answers.
-    Counted,
-    /// The same, of upstreams in the own zone.
-    CountedHere,
-    /// As if they were free.
+enum LinkPolicy {
+    /// Waits for links add to the expected latency, and a full link rules out large responses.
+    Considered,
+    /// Like `Considered`, and only upstreams in the local zone qualify.
+    LocalZoneOnly,
+    /// All links are treated as idle.
     Ignored,
 }
 
 impl Request<'_> {
-    /// What its like are answered with, bytes.
+    /// Expected length of the response body, bytes.
     fn answer_bytes(&self) -> f64 {
         (self.moved_bytes - self.body_bytes as f64).max(0.0)
     }
 }
 
-/// Which upstreams a choice is made among, and for what.
-struct Wanted<'a, F> {
+/// The call to place and the upstreams that qualify for it.
+struct Selection<'a, F> {
     track: Track,
-    fits: F,
+    qualifies: F,
     request: &'a Request<'a>,
 }
 
-/// Whether an upstream is only taken if there is no other, and after which of its like.
+/// Whether an upstream is used only as a fallback; lower values are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Standby {
+enum Fallback {
     No,
-    /// It is cold, and had this node's part of what it bears.
+    /// It is cold, and this node's share of its rate is used up.
     Cold,
-    /// It failed this node lately.
-    Resting,
+    /// It is in backoff after failures of this node's calls.
+    BackingOff,
 }
 
 impl PlacementView {
-    /// The upstream that should have a call; `None` if none is live, untried and has room for all
-    /// that is known: to ask one that refused a like call a moment ago costs two messages and
-    /// brings the same answer. One that rests after failures is taken only if there is no other.
+    /// Selects the upstream for a call; `None` if no upstream is live, untried and believed to have
+    /// capacity. An upstream that refused a similar call a moment ago is skipped, since asking it
+    /// again costs two messages for the same answer. One in backoff is selected only if there is no
+    /// other.
     pub fn choose(
         &self,
         request: &Request<'_>,
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
-        let chosen =
-            self.choose_of(&Wanted { track: request.track, fits: any, request }, now, random);
+        let chosen = self.choose_of(
+            &Selection { track: request.track, qualifies: any, request },
+            now,
+            random,
+        );
         if chosen.is_some() || request.track == Track::Stable {
             return chosen;
         }
-        self.choose_of(&Wanted { track: Track::Stable, fits: any, request }, now, random)
+        self.choose_of(&Selection { track: Track::Stable, qualifies: any, request }, now, random)
     }
 
-    /// The upstream that should have a second try of a call: one in use, that neither rests nor is cold
-    /// and has an idle slot for all that is known.
+    /// Selects the upstream for a hedge: a stable one that is neither in backoff nor cold, and has
+    /// an idle slot by its reported load.
     pub fn choose_idle(
         &self,
         request: &Request<'_>,
@@ -120,118 +128,122 @@
             let free = held.free_slots(now).is_some_and(|free| free >= IDLE_SLOTS);
             free && !held.is_backing_off(now) && !held.is_cold(now)
         };
-        self.choose_of(&Wanted { track: Track::Stable, fits: idle, request }, now, random)
+        self.choose_of(&Selection { track: Track::Stable, qualifies: idle, request }, now, random)
     }
 
-    /// The one of the upstreams wanted that should have a call.
+    /// Selects among the qualifying upstreams, restricted to the local zone if a response is too
+    /// large to leave it.
     fn choose_of<F: Fn(&Upstream) -> bool>(
         &self,
-        wanted: &Wanted<'_, F>,
+        selection: &Selection<'_, F>,
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
-        let counted = match self.stays_in_zone(wanted, now, random) {
-            true => Links::CountedHere,
-            false => Links::Counted,
+        let link_policy = match self.stays_in_zone(selection, now, random) {
+            true => LinkPolicy::LocalZoneOnly,
+            false => LinkPolicy::Considered,
         };
-        self.best_of(wanted, counted, now, random)
+        self.best_of(selection, link_policy, now, random)
     }
 
-    /// Whether an answer is only asked for in the own zone: it costs too much to be brought from
-    /// another, and that would be done for busy links alone.
+    /// Whether only upstreams of the local zone may serve the call: the response is too large to
+    /// transfer between zones, and only busy links would make the call leave the zone.
     fn stays_in_zone<F: Fn(&Upstream) -> bool>(
         &self,
-        wanted: &Wanted<'_, F>,
+        selection: &Selection<'_, F>,
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> bool {
-        if !Distance::OtherZone.is_too_costly(wanted.request.answer_bytes()) {
+        if !Distance::OtherZone.is_too_costly(selection.request.answer_bytes()) {
             return false;
         }
-        let best = self.best_of(wanted, Links::Ignored, now, random);
+        let best = self.best_of(selection, LinkPolicy::Ignored, now, random);
         let held = best.and_then(|key| self.upstreams.get(&key));
         held.is_some_and(|held| !self.locality.distance(&held.record).leaves_zone())
     }
 
-    /// The upstream that costs least. Where none of a sample will do, as for a new version that few
-    /// run, or while most are full, all are looked at before the call is given up.
+    /// Selects the upstream with the lowest cost. If no upstream of a sample qualifies, as for a
+    /// new version that few upstreams run, or while most are full, all upstreams are evaluated
+    /// before the call is given up.
     fn best_of<F: Fn(&Upstream) -> bool>(
         &self,
-        wanted: &Wanted<'_, F>,
-        links: Links,
+        selection: &Selection<'_, F>,
+        link_policy: LinkPolicy,
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
-        let service = wanted.request.service;
-        let drawn: Vec<_> = self.candidates(service, random).collect();
-        let best = self.best_among(drawn.into_iter(), wanted, links, now, random);
+        let service = selection.request.service;
+        let sample: Vec<_> = self.candidates(service, random).collect();
+        let best = self.best_among(sample.into_iter(), selection, link_policy, now, random);
         if best.is_some() || !self.is_sampled(service) {
             return best;
         }
-        self.best_among(self.of_service(service), wanted, links, now, random)
+        self.best_among(self.of_service(service), selection, link_policy, now, random)
     }
 
     fn best_among<'a, F: Fn(&Upstream) -> bool>(
         &self,
         candidates: impl Iterator<Item = (&'a UpstreamKey, &'a Upstream)>,
-        wanted: &Wanted<'_, F>,
-        links: Links,
+        selection: &Selection<'_, F>,
+        link_policy: LinkPolicy,
         now: Millis,
         random: &mut fastrand::Rng,
     ) -> Option<UpstreamKey> {
-        let Wanted { track, ref fits, request } = *wanted;
-        let mut best: Option<((Standby, f64), UpstreamKey)> = None;
+        let Selection { track, ref qualifies, request } = *selection;
+        let mut best: Option<((Fallback, f64), UpstreamKey)> = None;
         let cold_spacing_ms = self.cold_spacing_ms(request.service);
         for (key, held) in candidates {
             let distance = self.locality.distance(&held.record);
             let usable = held.track == track && held.is_live();
-            if !usable || held.is_full(request.urgency, now) || !fits(held) {
+            if !usable || held.is_full(request.urgency, now) || !qualifies(held) {
                 continue;
             }
             let tried = request.tried.contains(key);
             let answer_bytes = request.answer_bytes();
-            let leaves = distance != Distance::Local && answer_bytes > LARGE_ANSWER_BYTES;
-            let link_full = leaves && held.is_link_full(now);
-            let barred = match links {
-                Links::Counted => tried || link_full,
-                Links::CountedHere => tried || link_full || distance.leaves_zone(),
-                // One that refused for its link alone would have been taken.
-                Links::Ignored => tried && !link_full,
+            let is_large_transfer =
+                distance != Distance::Local && answer_bytes > LARGE_ANSWER_BYTES;
+            let link_full = is_large_transfer && held.is_link_full(now);
+            let excluded = match link_policy {
+                LinkPolicy::Considered => tried || link_full,
+                LinkPolicy::LocalZoneOnly => tried || link_full || distance.leaves_zone(),
+                // An upstream that refused only because of its link would have been selected.
+                LinkPolicy::Ignored => tried && !link_full,
             };
-            if barred {
+            if excluded {
                 continue;
             }
-            let varied = 1.0 + VARIATION * random.f64();
-            let expected = held.expected(request.usual_ms * varied, now);
+            let jitter = 1.0 + LATENCY_JITTER * random.f64();
+            let expected = held.expected(request.usual_ms * jitter, now);
             let transfer_ms =
-                match distance != Distance::Local && self.offers(held, request.body_bytes) {
+                match distance != Distance::Local && self.must_offer(held, request.body_bytes) {
                     true => held.transfer_ms(request.body_bytes, now),
                     false => 0.0,
                 };
-            let answer_ms = match leaves && links != Links::Ignored {
+            let answer_ms = match is_large_transfer && link_policy != LinkPolicy::Ignored {
                 true => {
-                    let varied = 1.0 + LINK_VARIATION * (random.f64() - 0.5);
-                    held.answer_ms(answer_bytes, expected.work_ms, now) * varied
+                    let jitter = 1.0 + LINK_JITTER * (random.f64() - 0.5);
+                    held.answer_ms(answer_bytes, expected.work_ms, now) * jitter
                 }
                 false => 0.0,
             };
-            // The upstream beside this node needs no link.
-            let in_use = match distance == Distance::Local || links == Links::Ignored {
-                true => 0.0,
-                false => link_cost(held.link_in_use(now)),
-            };
+            // The local upstream is reached without a link.
+            let link_cost_of_upstream =
+                match distance == Distance::Local || link_policy == LinkPolicy::Ignored {
+                    true => 0.0,
+                    false => link_cost(held.link_utilization(now)),
+                };
             let cost = cost(held, distance, expected, transfer_ms + answer_ms, request, now);
-            let standby = match held.is_backing_off(now) {
-                true => Standby::Resting,
+            let fallback = match held.is_backing_off(now) {
+                true => Fallback::BackingOff,
                 false
                     if distance != Distance::Local
-                        && !held.cold_part().has_room(cold_spacing_ms, now) =>
+                        && !held.cold_limit().permits(cold_spacing_ms, now) =>
                 {
-                    Standby::Cold
+                    Fallback::Cold
                 }
-                false => Standby::No,
+                false => Fallback::No,
             };
-            let cost = (standby, cost + in_use);
+            let cost = (fallback, cost + link_cost_of_upstream);
             if best.as_ref().is_none_or(|(held_cost, _)| {
                 cost.partial_cmp(held_cost).is_some_and(std::cmp::Ordering::is_lt)
             }) {
@@ -241,8 +253,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// The upstreams of a service that one choice looks at; of a large one a sample, with the upstream
-    /// beside this node.
+    /// Upstreams of a service to evaluate for one call: a sample if the service is large, plus the
+    /// upstream local to this node.
     fn candidates(
         &self,
         service: &str,
@@ -250,40 +262,41 @@
     ) -> impl Iterator<Item = (&UpstreamKey, &Upstream)> {
         let keys = self.by_service.get(service);
         let sampled = keys.is_some_and(ServiceKeys::is_sampled);
-        let beside = self.upstreams.get_key_value(self.locality.own());
-        let beside = beside.filter(|(_, held)| sampled && held.record.service == service);
-        let drawn = keys.map_or_else(Vec::new, |keys| keys.candidates(random));
-        beside
+        let local = self.upstreams.get_key_value(self.locality.own());
+        let local = local.filter(|(_, held)| sampled && held.record.service == service);
+        let sample = keys.map_or_else(Vec::new, |keys| keys.candidates(random));
+        local
             .into_iter()
-            .chain(drawn.into_iter().filter_map(|key| self.upstreams.get_key_value(key)))
+            .chain(sample.into_iter().filter_map(|key| self.upstreams.get_key_value(key)))
     }
 
-    /// Whether a choice looks at a sample of the upstreams of a service only.
+    /// Whether only a sample of the upstreams of a service is evaluated per call.
     fn is_sampled(&self, service: &str) -> bool {
         self.by_service.get(service).is_some_and(ServiceKeys::is_sampled)
     }
 }
 
-/// Fits every upstream.
+/// Accepts every upstream.
 fn any(_: &Upstream) -> bool {
     true
 }
 
-/// What it costs to go to an upstream, as a part of the worth of a call that is in time.
+/// Cost of sending a call to an upstream, as a fraction of the value of a call answered in time.
 fn cost(
     held: &Upstream,
     distance: Distance,
-    expected: Expected,
+    expected: ExpectedLatency,
     transfer_ms: f64,
     request: &Request<'_>,
     now: Millis,
 ) -> f64 {
-    let before_ms = expected.wait_ms + distance.usual_ms() + transfer_ms + held.silence_ms(now);
+    let before_ms =
+        expected.wait_ms + distance.base_rtt_ms() + transfer_ms + held.unanswered_delay_ms(now);
     let left_ms = request.target_ms - before_ms;
-    let part = (before_ms + expected.work_ms) / request.target_ms.max(1.0);
-    let late = request.spread.beyond(left_ms / expected.work_ms.max(1.0));
-    let time = part * TIME_COST + (part - 1.0).max(0.0) * OVERDUE_COST;
-    let failing = (held.failing(now) - FAILING_BORNE).max(0.0) * FAILURE_COST;
-    let full = expected.full * FULL_COST;
-    late + time + full + failing + distance.cost(request.moved_bytes)
+    let target_fraction = (before_ms + expected.work_ms) / request.target_ms.max(1.0);
+    let lateness_risk = request.spread.beyond(left_ms / expected.work_ms.max(1.0));
+    let latency = target_fraction * TIME_COST + (target_fraction - 1.0).max(0.0) * OVERDUE_COST;
+    let failures = (held.failure_rate(now) - TOLERATED_FAILURE_RATE).max(0.0) * FAILURE_COST;
+    let no_slot = expected.no_slot_probability * NO_SLOT_COST;
+    lateness_risk + latency + no_slot + failures + distance.cost(request.moved_bytes)
 }
--- a/crates/placement/src/fleet_size.rs
+++ b/crates/placement/src/fleet_size.rs
@@ -1,54 +1,54 @@
-//! By how many nodes a bound over the whole fleet is divided.
+//! Number of nodes that share a fleet-wide limit.
 //!
-//! What a process does not know of others it takes for theirs: a list that shrank counts as long as
-//! it was, and one that has only begun to grow gives no share at all.
+//! The estimate errs towards smaller shares: after the list of known nodes shrinks, its previous
+//! length still counts, and while the list is first being filled there is no share at all.
 
 use crate::Millis;
 
-/// A list is whole this long after its first node, milliseconds: coordinators that start anew with
-/// all sidecars hear of them within a few seconds.
+/// Time after the first node is known until the list counts as complete, milliseconds: coordinators
+/// that restart together with all sidecars learn of them within a few seconds.
 const SETTLED_MS: Millis = 10_000;
-/// Nodes that were known count for once to twice this long, milliseconds: as long as regions lose
-/// each other.
+/// Known nodes keep counting for one to two times this long, milliseconds: regions can lose contact
+/// with each other for as long.
 const REMEMBERED_MS: Millis = 300_000;
 
-/// The size of the fleet, as far as this process may rely on it.
+/// Conservative estimate of the size of the fleet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
     first_known: Option<Millis>,
-    /// When `recent` began.
-    turned_at: Millis,
-    /// Most nodes known in the span before.
-    former: usize,
-    /// Most nodes known since then.
+    /// Start of the span that `recent` covers.
+    rotated_at: Millis,
+    /// Maximum number of nodes known in the previous span.
+    previous: usize,
+    /// Maximum number of nodes known in the current span.
     recent: usize,
 }
 
 impl FleetSize {
-    /// Takes in how many nodes are known now.
+    /// Updates the number of known nodes.
     pub fn note(&mut self, nodes: usize, now: Millis) {
         if nodes == 0 {
             return;
         }
         self.first_known.get_or_insert(now);
-        if now >= self.turned_at + REMEMBERED_MS {
-            self.former = std::mem::take(&mut self.recent);
-            self.turned_at = now;
+        if now >= self.rotated_at + REMEMBERED_MS {
+            self.previous = std::mem::take(&mut self.recent);
+            self.rotated_at = now;
         }
         self.recent = self.recent.max(nodes);
     }
 
-    /// Most nodes known of late, one at least.
+    /// Maximum number of nodes known recently, at least 1.
     pub fn largest(&self) -> usize {
-        self.former.max(self.recent).max(1)
+        self.previous.max(self.recent).max(1)
     }
 
-    /// From when on the list counts as whole.
+    /// When the list counts as complete.
     pub fn settled_at(&self) -> Option<Millis> {
         self.first_known.map(|at| at + SETTLED_MS)
     }
 
-    /// Number of nodes that share a bound; `None` while this process cannot tell.
+    /// Number of nodes that share a limit; `None` while the list may be incomplete.
     pub fn sharers(&self, now: Millis) -> Option<usize> {
         let settled = self.settled_at().is_some_and(|at| now >= at);
         settled.then(|| self.largest())
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,7 @@
-//! Where a call goes: the part of a split, the upstream, and whether it may be sent again.
+//! Upstream selection: weighted traffic splits, load balancing over upstreams, and limits on
+//! retries.
 //!
-//! Pure: time is passed in as milliseconds of a monotonic clock.
+//! The crate does no I/O and reads no clock; callers pass the time as monotonic milliseconds.
 #![forbid(unsafe_code)]
 
 mod budget;
--- a/crates/placement/src/service_keys.rs
+++ b/crates/placement/src/service_keys.rs
@@ -1,39 +1,40 @@
-//! The upstreams of one service by how far they are, and which of them one choice looks at.
+//! Upstreams of one service grouped by distance, and the sampling of candidates for a choice.
 
 use crate::{Distance, UpstreamKey};
 
-/// Upstreams of a service that are looked at for one call: all up to this number, beyond it a sample
-/// drawn anew each time, so that the time a choice takes is bounded however large the service is. With
-/// 48 of the own zone the least loaded of them is in the best 6 in 100 nineteen times in twenty (0.94
-/// to the power 48 is 0.05); those of other zones are for when there is no room in the own.
-const MOST_CANDIDATES: usize = 64;
-/// Of those, most of other zones.
-const MOST_FAR_CANDIDATES: usize = 16;
-/// Of those, at least so many of other regions: for when there is no room in the own.
-const MOST_REMOTE_CANDIDATES: usize = 4;
+/// Maximum number of upstreams considered for one call. A larger service is sampled anew for each
+/// call, so that the cost of a choice is bounded. Of 48 upstreams drawn from the local zone, the
+/// least loaded is among the best 6 in 100 nineteen times in twenty (0.94 to the power 48 is 0.05);
+/// the others come from other zones, for when the local zone has no capacity.
+const MAX_CANDIDATES: usize = 64;
+/// Of those, the maximum from outside the local zone, as long as the local zone can supply the
+/// rest.
+const MAX_CANDIDATES_OUTSIDE_ZONE: usize = 16;
+/// Of those, the number reserved for other regions, for when the local region has no capacity.
+const RESERVED_CANDIDATES_OF_OTHER_REGIONS: usize = 4;
 
-/// The upstreams of a service.
+/// Keys of the upstreams of a service, by distance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceKeys {
     /// In the zone of this node.
-    near: Vec<UpstreamKey>,
+    local_zone: Vec<UpstreamKey>,
     /// In other zones of its region.
-    far: Vec<UpstreamKey>,
+    other_zones: Vec<UpstreamKey>,
     /// In other regions.
-    remote: Vec<UpstreamKey>,
+    other_regions: Vec<UpstreamKey>,
 }
 
 impl ServiceKeys {
     pub fn iter(&self) -> impl Iterator<Item = &UpstreamKey> {
-        self.near.iter().chain(&self.far).chain(&self.remote)
+        self.local_zone.iter().chain(&self.other_zones).chain(&self.other_regions)
     }
 
-    /// Adds one that is so far away.
+    /// Adds an upstream at this distance.
     pub fn add(&mut self, key: UpstreamKey, distance: Distance) {
         match distance {
-            Distance::Local | Distance::SameZone => self.near.push(key),
-            Distance::OtherZone => self.far.push(key),
-            Distance::OtherRegion => self.remote.push(key),
+            Distance::Local | Distance::SameZone => self.local_zone.push(key),
+            Distance::OtherZone => self.other_zones.push(key),
+            Distance::OtherRegion => self.other_regions.push(key),
         }
     }
 
@@ -41,44 +42,45 @@
         self.len() == 0
     }
 
-    /// Whether a choice looks at a sample of them only.
+    /// Whether a choice considers only a sample of the upstreams.
     pub fn is_sampled(&self) -> bool {
-        self.len() > MOST_CANDIDATES
+        self.len() > MAX_CANDIDATES
     }
 
     fn len(&self) -> usize {
-        self.near.len() + self.far.len() + self.remote.len()
+        self.local_zone.len() + self.other_zones.len() + self.other_regions.len()
     }
 
     pub fn remove(&mut self, key: &UpstreamKey) {
-        self.near.retain(|held| held != key);
-        self.far.retain(|held| held != key);
-        self.remote.retain(|held| held != key);
+        self.local_zone.retain(|held| held != key);
+        self.other_zones.retain(|held| held != key);
+        self.other_regions.retain(|held| held != key);
     }
 
-    /// Those that one choice looks at. A sample is drawn with replacement: one that comes twice is
-    /// looked at twice, which changes nothing.
+    /// Returns the upstreams that one choice considers. A sample is drawn with replacement; a
+    /// duplicate is evaluated twice, which does not affect the result.
     pub fn candidates(&self, random: &mut fastrand::Rng) -> Vec<&UpstreamKey> {
         if !self.is_sampled() {
             return self.iter().collect();
         }
-        let remote = MOST_REMOTE_CANDIDATES.min(self.remote.len());
-        let elsewhere = MOST_FAR_CANDIDATES.min(self.far.len() + self.remote.len());
-        let mut found = draw(&self.near, MOST_CANDIDATES - elsewhere, random);
-        found.extend(draw(&self.far, MOST_CANDIDATES - found.len() - remote, random));
-        found.extend(draw(&self.remote, MOST_CANDIDATES - found.len(), random));
+        let other_regions = RESERVED_CANDIDATES_OF_OTHER_REGIONS.min(self.other_regions.len());
+        let outside_zone =
+            MAX_CANDIDATES_OUTSIDE_ZONE.min(self.other_zones.len() + self.other_regions.len());
+        let mut found = draw(&self.local_zone, MAX_CANDIDATES - outside_zone, random);
+        found.extend(draw(&self.other_zones, MAX_CANDIDATES - found.len() - other_regions, random));
+        found.extend(draw(&self.other_regions, MAX_CANDIDATES - found.len(), random));
         found
     }
 }
 
-/// All keys if they are no more than wanted, else so many at random.
+/// Returns all keys if there are at most `count`, else `count` of them at random.
 fn draw<'a>(
     keys: &'a [UpstreamKey],
-    wanted: usize,
+    count: usize,
     random: &mut fastrand::Rng,
 ) -> Vec<&'a UpstreamKey> {
-    if keys.len() <= wanted {
+    if keys.len() <= count {
         return keys.iter().collect();
     }
-    (0..wanted).map(|_| &keys[random.usize(0..keys.len())]).collect()
+    (0..count).map(|_| &keys[random.usize(0..keys.len())]).collect()
 }
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -1,12 +1,13 @@
-//! Sharing calls over the parts of a split, close to exact over any short run.
+//! Weighted traffic splits that stay close to exact over any short run of calls.
 //!
-//! Smooth weighted round robin: each draw raises every part by its weight and takes the highest,
-//! which then gives back the sum. Nodes begin at different places, so that the fleet's sum is
-//! close to exact as well. Load plays no part.
+//! Uses smooth weighted round robin: each draw raises the credit of every target by its weight and
+//! takes the target with the highest credit, which is then lowered by the sum of the weights. Each
+//! node starts at a random position so that the fleet-wide distribution is close to exact as well.
+//! Load is not considered.
 
 use bundle::Target;
 
-/// The state of one route's split on one node.
+/// State of one route's traffic split on one node.
 #[derive(Clone, Debug)]
 pub struct WeightedSplit {
     targets: Vec<Target>,
@@ -14,7 +15,7 @@
 }
 
 impl WeightedSplit {
-    /// A split that begins at a place drawn by `random`.
+    /// Creates a split that starts at a random position.
     pub fn new(targets: &[Target], random: &mut fastrand::Rng) -> Self {
         let mut split =
             WeightedSplit { targets: targets.to_vec(), credits: vec![0; targets.len()] };
@@ -24,7 +25,7 @@
         split
     }
 
-    /// Whether it is the split of these targets.
+    /// Whether this split was made for these targets.
     pub fn is_for(&self, targets: &[Target]) -> bool {
         self.targets == targets
     }
@@ -33,16 +34,16 @@
         self.targets.iter().map(|target| u64::from(target.weight)).sum()
     }
 
-    /// The service for the next call; `None` if there is no part with a weight.
+    /// Picks the service for the next call; `None` if all weights are zero.
     pub fn draw(&mut self) -> Option<&str> {
         let total = self.total() as i64;
         for (credit, target) in self.credits.iter_mut().zip(&self.targets) {
             *credit += i64::from(target.weight);
         }
-        let parts = self.credits.iter().enumerate();
-        let weighted = parts.filter(|(part, _)| self.targets[*part].weight > 0);
-        let (part, _) = weighted.max_by_key(|(_, credit)| **credit)?;
-        self.credits[part] -= total;
-        Some(&self.targets[part].service)
+        let credits_by_index = self.credits.iter().enumerate();
+        let weighted = credits_by_index.filter(|(index, _)| self.targets[*index].weight > 0);
+        let (index, _) = weighted.max_by_key(|(_, credit)| **credit)?;
+        self.credits[index] -= total;
+        Some(&self.targets[index].service)
     }
 }
--- a/crates/placement/src/times.rs
+++ b/crates/placement/src/times.rs
@@ -1,81 +1,84 @@
-//! What is usual for the calls of each route.
+//! Latency statistics of each route.
 
 use crate::LatencyHistogram;
 use std::collections::BTreeMap;
 
-/// Weight of a new observation.
-const WEIGHT: f64 = 0.05;
-/// Least pace that a time is divided by, so that an odd one does not spoil what is usual.
-const LEAST_PACE: f64 = 0.05;
+/// Weight of a new sample in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Lower bound of the pace that a latency is divided by, so that one outlier does not distort the
+/// average.
+const MIN_PACE: f64 = 0.05;
 
-/// One answered call.
+/// Measurements of one answered call.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencySample {
-    /// Time it spent with its upstream, milliseconds.
+    /// Time the call spent at the upstream, milliseconds.
     pub spent_ms: f64,
-    /// How long that upstream takes, relative to what is usual at its service.
+    /// Service time of that upstream relative to the average of its service; above 1 is slower.
     pub pace: f64,
-    /// What that upstream tells of this itself; 1 if it tells nothing. What is usual is learned by this
-    /// alone: by a pace that is itself learned from what is usual, both would drift.
+    /// The pace that the upstream reports of itself; 1 if it reports none. The route's average is
+    /// normalized by this value only: normalizing it by a pace that is itself derived from the
+    /// average would let both drift.
     pub reported_pace: f64,
-    /// Length of its body and of its answer's, bytes.
+    /// Combined length of the request and response bodies, bytes.
     pub moved_bytes: f64,
 }
 
 #[derive(Clone, Debug)]
-struct Usual {
+struct RouteStats {
     ms: f64,
     moved_bytes: f64,
     spread: LatencyHistogram,
 }
 
-/// How long the calls of each route take at an upstream of average speed, how their times are
-/// spread, and what they move.
+/// For each route: the average latency at an upstream of average speed, the distribution of
+/// latencies around that average, and the bytes moved per call.
 #[derive(Clone, Debug, Default)]
 pub struct RouteLatencies {
-    routes: BTreeMap<String, Usual>,
-    /// For routes of which nothing was seen.
-    unknown: LatencyHistogram,
+    routes: BTreeMap<String, RouteStats>,
+    /// Used for routes without samples.
+    no_samples: LatencyHistogram,
 }
 
 impl RouteLatencies {
-    /// The usual time of a route's calls, milliseconds; `None` before the first answer.
+    /// Average latency of a route's calls, milliseconds; `None` before the first answer.
     pub fn usual_ms(&self, route: &str) -> Option<f64> {
-        self.routes.get(route).map(|usual| usual.ms)
+        self.routes.get(route).map(|stats| stats.ms)
     }
 
-    /// What a route's call and its answer move, bytes; `None` before the first answer.
+    /// Average body bytes that a call of a route and its answer move; `None` before the first
+    /// answer.
     pub fn moved_bytes(&self, route: &str) -> Option<f64> {
-        self.routes.get(route).map(|usual| usual.moved_bytes)
+        self.routes.get(route).map(|stats| stats.moved_bytes)
     }
 
-    /// How the times of a route's calls are spread around the usual.
+    /// Distribution of a route's latencies relative to their average.
     pub fn spread(&self, route: &str) -> &LatencyHistogram {
-        self.routes.get(route).map_or(&self.unknown, |usual| &usual.spread)
+        self.routes.get(route).map_or(&self.no_samples, |stats| &stats.spread)
     }
 
-    /// Takes in a call that was given up after `spent_ms` because another answer came first: it would
-    /// have taken longer, so the part of long times stays what it is.
+    /// Records a call that was cancelled after `spent_ms` because another attempt answered first.
+    /// Its latency is a lower bound, which keeps long latencies represented in the distribution.
     pub fn note_cancelled(&mut self, route: &str, spent_ms: f64, pace: f64) {
-        let ms = spent_ms / pace.max(LEAST_PACE);
-        if let Some(usual) = self.routes.get_mut(route).filter(|usual| usual.ms > 0.0) {
-            usual.spread.note(ms / usual.ms);
+        let ms = spent_ms / pace.max(MIN_PACE);
+        if let Some(stats) = self.routes.get_mut(route).filter(|stats| stats.ms > 0.0) {
+            stats.spread.note(ms / stats.ms);
         }
     }
 
-    /// Takes in an answered call.
-    pub fn note(&mut self, route: &str, seen: LatencySample) {
-        let ms = seen.spent_ms / seen.reported_pace.max(LEAST_PACE);
-        let Some(usual) = self.routes.get_mut(route) else {
-            let moved_bytes = seen.moved_bytes;
-            let first = Usual { ms, moved_bytes, spread: LatencyHistogram::default() };
+    /// Records an answered call.
+    pub fn note(&mut self, route: &str, sample: LatencySample) {
+        let ms = sample.spent_ms / sample.reported_pace.max(MIN_PACE);
+        let Some(stats) = self.routes.get_mut(route) else {
+            let moved_bytes = sample.moved_bytes;
+            let first = RouteStats { ms, moved_bytes, spread: LatencyHistogram::default() };
             self.routes.insert(route.to_owned(), first);
             return;
         };
-        if usual.ms > 0.0 {
-            usual.spread.note(seen.spent_ms / (usual.ms * seen.pace.max(LEAST_PACE)));
+        if stats.ms > 0.0 {
+            stats.spread.note(sample.spent_ms / (stats.ms * sample.pace.max(MIN_PACE)));
         }
-        usual.ms += (ms - usual.ms) * WEIGHT;
-        usual.moved_bytes += (seen.moved_bytes - usual.moved_bytes) * WEIGHT;
+        stats.ms += (ms - stats.ms) * SAMPLE_WEIGHT;
+        stats.moved_bytes += (sample.moved_bytes - stats.moved_bytes) * SAMPLE_WEIGHT;
     }
 }
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -1,233 +1,236 @@
-//! What a node believes of one upstream.
+//! State of one upstream as this node knows it.
 
-use crate::cold_part::ColdPart;
-use crate::egress_seen::EgressSeen;
+use crate::cold_part::ColdLimit;
+use crate::egress_seen::EgressEstimate;
 use crate::Millis;
 use mesh::{
     most_unasked_bytes, HopReply, InstanceState, NodeAddress, NodeRecord, Track, UpstreamLoad,
     VersionPolicy,
 };
 
-/// Names an upstream by the sidecar beside it.
+/// Identifies an upstream by the address of its sidecar.
 pub type UpstreamKey = NodeAddress;
 
-/// Longest that an upstream's own figures are believed, milliseconds.
-pub(crate) const FIGURES_AGE_MS: u64 = 1_000;
-/// How long a load that came through coordinators is believed whole, and how long it takes from
-/// then on to count for nothing, milliseconds. One that does not change is told about once a
-/// second.
+/// Age at which the figures of an upstream's reply no longer count, milliseconds.
+pub(crate) const REPLY_MAX_AGE_MS: u64 = 1_000;
+/// How long a load reported through coordinators counts in full, and the time it then takes to
+/// decay to zero, milliseconds. An unchanged load is reported about once a second.
 const LOAD_FRESH_MS: u64 = 1_200;
-const LOAD_FADING_MS: u64 = 1_000;
-/// A load told with an answer is not replaced within this time, milliseconds: what coordinators
-/// bring is older than that.
-const ANSWER_FIRST_MS: u64 = 300;
-/// First and longest time without calls after failures, milliseconds.
-const FIRST_REST_MS: u64 = 300;
-const LONGEST_REST_MS: u64 = 3_000;
-/// Longest time for which a refusal is believed, milliseconds: the queue moves on.
-pub(crate) const LONGEST_REFUSAL_MS: u64 = 150;
-/// Time in which the share of failures that it told loses half of its weight, milliseconds.
+const LOAD_DECAY_MS: u64 = 1_000;
+/// For this time after a reply, its load is not replaced by one from coordinators, which is older,
+/// milliseconds.
+const REPLY_PRECEDENCE_MS: u64 = 300;
+/// Initial and maximum backoff after failures, milliseconds.
+const MIN_BACKOFF_MS: u64 = 300;
+const MAX_BACKOFF_MS: u64 = 3_000;
+/// Maximum time for which a refusal stays in effect, milliseconds, since the queue keeps moving.
+pub(crate) const MAX_REFUSAL_MS: u64 = 150;
+/// Time in which a reported failure rate loses half of its weight, milliseconds.
 const FAILING_HALF_LIFE_MS: f64 = 2_500.0;
-/// Time in which the word of calls without an answer loses half of its weight, milliseconds.
-const SILENCE_HALF_LIFE_MS: f64 = 1_500.0;
-/// Weight of a new observation of speed.
-const SPEED_WEIGHT: f64 = 0.08;
-/// How long an answer proves that an upstream can be reached though no coordinator lists it, ms.
-const PROOF_MS: u64 = 5_000;
-/// How far a told load is off when a call arrives, slots: what changes hands between two tellings at an
-/// upstream of a dozen slots, by the root of some four runs.
+/// Time in which the delay of unanswered calls loses half of its weight, milliseconds.
+const UNANSWERED_HALF_LIFE_MS: f64 = 1_500.0;
+/// Weight of a new sample in the learned pace.
+const PACE_WEIGHT: f64 = 0.08;
+/// How long a reply proves that an upstream is reachable although no coordinator lists it,
+/// milliseconds.
+const REACHABLE_MS: u64 = 5_000;
+/// Typical error of a reported load when a call arrives, slots: about four requests start or end
+/// between two reports at an upstream of a dozen slots, and the error is the square root of that.
 const LOAD_ERROR_SLOTS: f64 = 2.0;
-/// Pace that an upstream is taken to have of which nothing is known, cold or not: that of the quick ones.
-/// One taken for average would be given nothing beside quick ones that are idle, and nobody would learn
-/// how quick it is; a sender has one call with it until something is known.
-const UNTRIED_PACE: f64 = 0.5;
-/// How long a speed is believed that nobody tells and no call shows anew, milliseconds: an upstream that is
-/// slow indeed costs each sender without other word one slow call in this time.
-const LEARNED_MS: u64 = 10_000;
-/// How long a pace that was told is believed, milliseconds: it is told again each 0.8 s, and one word of
+/// Pace assumed for an upstream without samples, cold or not: that of a fast one. With an average
+/// pace it would get no calls while fast upstreams are idle, so its pace would never be learned.
+/// Each sender has at most one call in flight to it until samples exist.
+const UNKNOWN_PACE: f64 = 0.5;
+/// How long a learned pace is used without new samples or reports, milliseconds: a slow upstream
+/// costs each sender without reports one slow call per period.
+const LEARNED_PACE_TTL_MS: u64 = 10_000;
+/// How long a reported pace is used, milliseconds: it is reported every 0.8 s, and one report in
 /// three may be lost.
-const PACE_FRESH_MS: u64 = 2_400;
-const SLOWEST: f64 = 30.0;
-const FASTEST: f64 = 0.1;
-/// How much slower a freshly started upstream is taken to be.
+const REPORTED_PACE_TTL_MS: u64 = 2_400;
+const MAX_PACE: f64 = 30.0;
+const MIN_PACE: f64 = 0.1;
+/// Assumed slowdown of an upstream that has just started.
 const COLD_FACTOR: f64 = 1.8;
 
-/// One upstream as this node sees it.
+/// State of one upstream as this node knows it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the coordinators say.
+    /// Latest record from the coordinators.
     pub record: NodeRecord,
-    /// Own calls that are with it.
+    /// This node's calls in flight to it.
     pub outstanding: u32,
-    /// How its version takes part in its service.
+    /// Which calls its version may receive.
     pub track: Track,
-    /// How long it takes, relative to the others of its service, as this node learned alone; what the
-    /// sidecar beside it tells goes first, see [`Upstream::pace`].
+    /// Service time relative to the average of its service, learned from this node's own calls;
+    /// above 1 is slower. A pace reported by the upstream's sidecar takes precedence, see
+    /// [`Upstream::pace`].
     pub learned_pace: f64,
-    told_pace: Option<ToldPace>,
-    /// When this node last learned anything of its speed.
-    timed_at: Option<Millis>,
-    cold: ColdPart,
-    figures: Option<Figures>,
-    load_seen: Option<LoadSeen>,
-    /// When coordinators last brought its load.
-    load_told_at: Option<Millis>,
-    rest_until: Millis,
+    reported_pace: Option<ReportedPace>,
+    /// When `learned_pace` was last updated.
+    pace_learned_at: Option<Millis>,
+    cold: ColdLimit,
+    last_reply: Option<LastReply>,
+    load_sample: Option<LoadSample>,
+    /// When coordinators last reported its load.
+    load_reported_at: Option<Millis>,
+    backoff_until: Millis,
     failures: u32,
     refusal: Option<Refusal>,
     listed: bool,
     /// Whether its zone is evacuated.
     evacuated: bool,
-    answered_at: Option<Millis>,
-    silence: Silence,
-    link: EgressSeen,
+    replied_at: Option<Millis>,
+    unanswered: UnansweredDelay,
+    egress: EgressEstimate,
 }
 
-/// How urgent a call is among those that wait for an upstream; the least goes first.
+/// Priority of a call in an upstream's queue; the lowest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Rank of its route.
+    /// Priority rank of its route.
     pub rank: u32,
     /// Target latency of its route, milliseconds.
     pub target_ms: u64,
 }
 
 impl Urgency {
-    /// That of calls that a run with a slot waits for: ahead of all new work.
+    /// Urgency of calls made by a request that holds a slot: ahead of all new work.
     pub const IN_PROGRESS: Self = Self { rank: 0, target_ms: 0 };
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     urgency: Urgency,
-    /// Until when it is believed.
+    /// When the refusal expires.
     until: Millis,
-    /// When there may be room, as it told.
-    room_at: Millis,
+    /// When the upstream said that the call may be retried.
+    retry_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Figures {
+struct LastReply {
     reply: HopReply,
     at: Millis,
 }
 
-impl Figures {
-    /// How far they are believed, 0 to 1.
-    fn belief(&self, now: Millis) -> f64 {
+impl LastReply {
+    /// Weight by age, 0 to 1.
+    fn age_weight(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.at);
-        1.0 - (age as f64 / FIGURES_AGE_MS as f64).min(1.0)
+        1.0 - (age as f64 / REPLY_MAX_AGE_MS as f64).min(1.0)
     }
 }
 
-/// How busy an upstream was.
+/// Load of an upstream at some time.
 #[derive(Clone, Copy, Debug)]
-struct LoadSeen {
-    /// Calls with it that were not this node's.
+struct LoadSample {
+    /// Calls of other nodes at the upstream.
     others: f64,
-    /// Time that its calls occupied a slot, milliseconds; 0 if it had none.
+    /// Average time that its calls occupied a slot, milliseconds; 0 if it had none.
     service_ms: f64,
     at: Millis,
-    /// Whether an answer brought it.
-    answered: bool,
+    /// Whether it came with a reply; otherwise coordinators reported it.
+    from_reply: bool,
 }
 
-impl LoadSeen {
-    /// How far it is believed, 0 to 1. Coordinators bring the next one soon, answers may not.
-    fn belief(&self, now: Millis) -> f64 {
+impl LoadSample {
+    /// Weight by age, 0 to 1. A load from coordinators counts in full at first, since the next
+    /// report follows soon; a reply may not be followed by another.
+    fn age_weight(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.at);
-        let (fresh_ms, fading_ms) = match self.answered {
-            true => (0, FIGURES_AGE_MS),
-            false => (LOAD_FRESH_MS, LOAD_FADING_MS),
+        let (fresh_ms, decay_ms) = match self.from_reply {
+            true => (0, REPLY_MAX_AGE_MS),
+            false => (LOAD_FRESH_MS, LOAD_DECAY_MS),
         };
-        let beyond = age.saturating_sub(fresh_ms);
-        1.0 - (beyond as f64 / fading_ms as f64).min(1.0)
+        let stale_ms = age.saturating_sub(fresh_ms);
+        1.0 - (stale_ms as f64 / decay_ms as f64).min(1.0)
     }
 }
 
-/// How long work takes there, as the sidecar beside it told.
+/// Pace reported by the upstream's sidecar.
 #[derive(Clone, Copy, Debug)]
-struct ToldPace {
+struct ReportedPace {
     pace: f64,
     at: Millis,
 }
 
-/// What a call would take at an upstream, milliseconds.
+/// Expected latency of a call at an upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Expected {
-    /// Until it has a slot.
+pub(crate) struct ExpectedLatency {
+    /// Wait for a slot, milliseconds.
     pub wait_ms: f64,
-    /// From then on, on average.
+    /// Average time from then until the answer, milliseconds.
     pub work_ms: f64,
-    /// Chance that no slot is free when it arrives, 0 to 1.
-    pub full: f64,
+    /// Probability that no slot is free when the call arrives, 0 to 1.
+    pub no_slot_probability: f64,
 }
 
-/// The longest wait beyond the usual of calls that were given up.
+/// Longest wait in excess of the expected latency among calls that got no answer; decays with age.
 #[derive(Clone, Copy, Debug, Default)]
-struct Silence {
+struct UnansweredDelay {
     ms: f64,
     at: Millis,
 }
 
 impl Upstream {
-    /// An upstream heard of for the first time.
+    /// Creates the state of an upstream that was not known before.
     pub fn new(record: NodeRecord, now: Millis) -> Self {
         let mut upstream = Upstream {
             record: record.clone(),
             outstanding: 0,
             track: Track::Stable,
             learned_pace: 1.0,
-            told_pace: None,
-            timed_at: None,
-            cold: ColdPart::default(),
-            figures: None,
-            load_seen: None,
-            load_told_at: None,
-            rest_until: 0,
+            reported_pace: None,
+            pace_learned_at: None,
+            cold: ColdLimit::default(),
+            last_reply: None,
+            load_sample: None,
+            load_reported_at: None,
+            backoff_until: 0,
             failures: 0,
             refusal: None,
             listed: true,
             evacuated: false,
-            answered_at: None,
-            silence: Silence::default(),
-            link: EgressSeen::default(),
+            replied_at: None,
+            unanswered: UnansweredDelay::default(),
+            egress: EgressEstimate::default(),
         };
         upstream.update(record, now);
         upstream
     }
 
-    /// Takes in news of the coordinators.
+    /// Applies a record from the coordinators. A new process or instance resets what depends on the
+    /// former.
     pub fn update(&mut self, record: NodeRecord, now: Millis) {
         let incarnation =
             |record: &NodeRecord| record.instance.as_ref().map(mesh::InstanceRecord::incarnation);
         let other_instance = incarnation(&self.record) != incarnation(&record);
         if other_instance || self.record.life != record.life {
-            self.rest_until = 0;
+            self.backoff_until = 0;
             self.failures = 0;
             self.refusal = None;
-            self.figures = None;
-            self.load_seen = None;
-            self.load_told_at = None;
-            self.silence = Silence::default();
+            self.last_reply = None;
+            self.load_sample = None;
+            self.load_reported_at = None;
+            self.unanswered = UnansweredDelay::default();
         }
         if other_instance {
             self.cold.restarted(now);
             self.learned_pace = 1.0;
-            self.told_pace = None;
-            self.timed_at = None;
+            self.reported_pace = None;
+            self.pace_learned_at = None;
         }
         if let Some(instance) = &record.instance {
-            self.cold.told(u64::from(instance.cold_remaining_ms), now);
+            self.cold.report_remaining(u64::from(instance.cold_remaining_ms), now);
         }
         self.record = record;
         self.listed = true;
     }
 
-    /// Takes in whether its zone is evacuated. One that is restored is taken for cold until it tells.
+    /// Sets whether its zone is evacuated. A restored upstream counts as cold until it reports.
     pub(crate) fn set_evacuated(&mut self, evacuated: bool, now: Millis) {
         if self.evacuated && !evacuated {
-            self.cold.presume(now);
+            self.cold.assume_cold(now);
         }
         self.evacuated = evacuated;
     }
@@ -237,266 +240,274 @@
         self.evacuated
     }
 
-    /// Whether it is slow after its start.
+    /// Whether it still is slow after its start.
     pub fn is_cold(&self, now: Millis) -> bool {
         self.cold.is_cold(now)
     }
 
-    /// This node's part of what it bears while it is cold.
-    pub(crate) fn cold_part(&self) -> &ColdPart {
+    /// This node's rate limit for it while it is cold.
+    pub(crate) fn cold_limit(&self) -> &ColdLimit {
         &self.cold
     }
 
-    /// The same, to be changed.
-    pub(crate) fn cold_part_mut(&mut self) -> &mut ColdPart {
+    /// Mutable access to that rate limit.
+    pub(crate) fn cold_limit_mut(&mut self) -> &mut ColdLimit {
         &mut self.cold
     }
 
-    /// Notes whether a coordinator lists it.
+    /// Sets whether a coordinator lists it.
     pub fn set_listed(&mut self, listed: bool) {
         self.listed = listed;
     }
 
-    /// Whether it is there for all this node knows: a coordinator lists it, or it answered this
-    /// node a moment ago and was only cut off from the coordinators.
+    /// Whether it is presumed to exist: a coordinator lists it, or it replied to this node recently
+    /// and may only have lost its connection to the coordinators.
     pub fn is_present(&self, now: Millis) -> bool {
-        self.listed || self.answered_at.is_some_and(|at| now < at + PROOF_MS)
+        self.listed || self.replied_at.is_some_and(|at| now < at + REACHABLE_MS)
     }
 
-    /// Whether it may be given calls at all.
+    /// Whether it may receive calls at all.
     pub fn is_live(&self) -> bool {
         let ready = |state| state == InstanceState::Ready;
         let instance_ready = self.record.instance.as_ref().is_some_and(|held| ready(held.state));
-        let says_ready = self.figures.is_none_or(|figures| ready(figures.reply.state));
+        let reply_ready = self.last_reply.is_none_or(|last_reply| ready(last_reply.reply.state));
         let barred = self.track == Track::Barred || self.evacuated;
-        instance_ready && says_ready && !self.record.stopping && !barred
+        instance_ready && reply_ready && !self.record.stopping && !barred
     }
 
-    /// Whether it is live and its version is in use, not only tried out.
+    /// Whether it is live and runs a stable version rather than a canary.
     pub fn is_stable(&self) -> bool {
         self.track == Track::Stable && self.is_live()
     }
 
-    /// Takes in which versions of its service may be given calls.
+    /// Applies the policy on which versions of its service may receive calls.
     pub(crate) fn apply_policy(&mut self, policy: Option<&VersionPolicy>) {
         let version = self.record.instance.as_ref().map_or("", |instance| &instance.version);
         self.track = policy.map_or(Track::Stable, |policy| policy.track(version));
     }
 
-    /// Whether it rests after failures.
+    /// Whether it is in backoff after failures.
     pub fn is_backing_off(&self, now: Millis) -> bool {
-        now < self.rest_until
+        now < self.backoff_until
     }
 
-    /// Whether it lately refused a call of this urgency, or a more urgent one, for want of room.
+    /// Whether it recently refused a call of this urgency, or a more urgent one, for lack of
+    /// capacity.
     pub fn is_full(&self, urgency: Urgency, now: Millis) -> bool {
         self.refusal.is_some_and(|refusal| now < refusal.until && urgency >= refusal.urgency)
     }
 
-    /// When it may have room for a call like the one it refused, as it told; `None` if that is
-    /// over, or it refused none.
-    pub fn room_at(&self, now: Millis) -> Option<Millis> {
-        let slot = self.refusal.map(|refusal| refusal.room_at);
-        let rooms = slot.into_iter().chain([self.link.room_at()]);
-        rooms.filter(|at| *at > now).min()
+    /// Earliest time at which a recently refused call may be retried, as the upstream reported;
+    /// `None` if that time has passed or it refused no call.
+    pub fn retry_at(&self, now: Millis) -> Option<Millis> {
+        let slot = self.refusal.map(|refusal| refusal.retry_at);
+        let times = slot.into_iter().chain([self.egress.retry_at()]);
+        times.filter(|at| *at > now).min()
     }
 
-    /// Most calls it works on at once.
+    /// Maximum number of calls it executes at once.
     pub fn limit(&self) -> u32 {
-        let told = self.figures.map(|figures| figures.reply.limit);
+        let reported = self.last_reply.map(|last_reply| last_reply.reply.limit);
         let slots = self.record.instance.as_ref().map_or(1, |instance| instance.slots);
-        told.unwrap_or(slots).max(1)
+        reported.unwrap_or(slots).max(1)
     }
 
-    /// Calls with it, its own figures corrected by what was sent since.
+    /// Estimated number of calls at the upstream: its last known load, corrected by this node's own
+    /// calls.
     pub fn load(&self, now: Millis) -> f64 {
-        let others = self.load_seen.map_or(0.0, |seen| seen.others * seen.belief(now));
+        let others = self.load_sample.map_or(0.0, |sample| sample.others * sample.age_weight(now));
         f64::from(self.outstanding) + others
     }
 
-    /// Slots that are free for all this node knows; `None` unless it told its load of late. One that
-    /// refused a call a moment ago has none, whatever it told.
+    /// Estimated number of free slots; `None` unless its load was reported recently. Zero while a
+    /// refusal is in effect, whatever the reported load.
     pub fn free_slots(&self, now: Millis) -> Option<f64> {
-        let told = self.load_told_at.is_some_and(|at| now < at + LOAD_FRESH_MS);
+        let is_reported = self.load_reported_at.is_some_and(|at| now < at + LOAD_FRESH_MS);
         let refused = self.refusal.is_some_and(|refusal| now < refusal.until);
         let free = (f64::from(self.limit()) - self.load(now)).max(0.0);
-        told.then_some(if refused { 0.0 } else { free })
+        is_reported.then_some(if refused { 0.0 } else { free })
     }
 
-    /// How long work takes there now, relative to what is usual at its service: as the sidecar beside it
-    /// tells, which sees all of its runs, else as this node learned.
+    /// Current service time relative to the average of its service. The pace reported by the
+    /// upstream's sidecar, which observes all requests there, takes precedence over the one this
+    /// node learned.
     pub fn pace(&self, now: Millis) -> f64 {
-        if let Some(told) = self.told_pace.filter(|told| now < told.at + PACE_FRESH_MS) {
-            return told.pace;
+        if let Some(reported) =
+            self.reported_pace.filter(|reported| now < reported.at + REPORTED_PACE_TTL_MS)
+        {
+            return reported.pace;
         }
-        if !self.is_learned(now) && self.outstanding == 0 {
-            return UNTRIED_PACE;
+        if !self.has_learned_pace(now) && self.outstanding == 0 {
+            return UNKNOWN_PACE;
         }
         let cold = if self.is_cold(now) { COLD_FACTOR } else { 1.0 };
         self.learned_pace * cold
     }
 
-    /// Whether this node learned its speed of late. One whose first call took long would never be given
-    /// another while a quicker one is idle, and the sidecar beside it tells nothing before some runs.
-    fn is_learned(&self, now: Millis) -> bool {
-        self.timed_at.is_some_and(|at| now < at + LEARNED_MS)
+    /// Whether the learned pace is recent. Without an expiry, an upstream whose first call was slow
+    /// would never get another one while a faster one is idle, and its sidecar reports no pace
+    /// before it has executed some requests.
+    fn has_learned_pace(&self, now: Millis) -> bool {
+        self.pace_learned_at.is_some_and(|at| now < at + LEARNED_PACE_TTL_MS)
     }
 
     fn note_pace(&mut self, percent: u32, now: Millis) {
         if percent > 0 {
-            let pace = (f64::from(percent) / 100.0).clamp(FASTEST, SLOWEST);
-            self.told_pace = Some(ToldPace { pace, at: now });
+            let pace = (f64::from(percent) / 100.0).clamp(MIN_PACE, MAX_PACE);
+            self.reported_pace = Some(ReportedPace { pace, at: now });
         }
     }
 
-    /// Takes in how busy it was a moment ago, as the sidecar beside it told through coordinators.
+    /// Records its load as its sidecar reported it through coordinators.
     pub fn note_load(&mut self, load: UpstreamLoad, now: Millis) {
-        self.load_told_at = Some(now);
-        self.link.tell(f64::from(load.egress_wait_ms), now);
-        let newer = |seen: LoadSeen| seen.answered && now < seen.at + ANSWER_FIRST_MS;
-        if !self.load_seen.is_some_and(newer) {
-            self.see_load(load.all(), f64::from(load.service_ms), false, now);
+        self.load_reported_at = Some(now);
+        self.egress.report_wait(f64::from(load.egress_wait_ms), now);
+        let has_newer_reply =
+            |sample: LoadSample| sample.from_reply && now < sample.at + REPLY_PRECEDENCE_MS;
+        if !self.load_sample.is_some_and(has_newer_reply) {
+            self.set_load(load.all(), f64::from(load.service_ms), false, now);
             self.note_pace(u32::from(load.pace_percent), now);
         }
     }
 
-    fn see_load(&mut self, all: u32, service_ms: f64, answered: bool, now: Millis) {
-        let others = f64::from(all.saturating_sub(self.outstanding));
-        self.load_seen = Some(LoadSeen { others, service_ms, at: now, answered });
+    fn set_load(&mut self, total: u32, service_ms: f64, from_reply: bool, now: Millis) {
+        let others = f64::from(total.saturating_sub(self.outstanding));
+        self.load_sample = Some(LoadSample { others, service_ms, at: now, from_reply });
     }
 
-    /// What a call sent now would take here; `usual_ms` is what it takes at an upstream of average
+    /// Expected latency of a call sent now; `usual_ms` is its latency at an upstream of average
     /// speed.
-    pub(crate) fn expected(&self, usual_ms: f64, now: Millis) -> Expected {
+    pub(crate) fn expected(&self, usual_ms: f64, now: Millis) -> ExpectedLatency {
         let work_ms = usual_ms * self.pace(now);
         let limit = f64::from(self.limit());
         let ahead = self.load(now) - limit + 1.0;
-        let told = self.load_seen.map(|seen| seen.service_ms);
-        let each = told.filter(|told| *told > 0.0).unwrap_or(work_ms);
-        let wait_ms = if ahead > 0.0 { ahead * each / limit } else { 0.0 };
-        let full = 1.0 / (1.0 + (-ahead / LOAD_ERROR_SLOTS).exp());
-        Expected { wait_ms, work_ms, full }
+        let reported_ms = self.load_sample.map(|sample| sample.service_ms);
+        let per_call_ms = reported_ms.filter(|reported_ms| *reported_ms > 0.0).unwrap_or(work_ms);
+        let wait_ms = if ahead > 0.0 { ahead * per_call_ms / limit } else { 0.0 };
+        let no_slot_probability = 1.0 / (1.0 + (-ahead / LOAD_ERROR_SLOTS).exp());
+        ExpectedLatency { wait_ms, work_ms, no_slot_probability }
     }
 
-    /// Notes that a call was given up after it had waited for so much longer than usual,
-    /// milliseconds.
-    pub fn note_unanswered(&mut self, beyond_ms: f64, now: Millis) {
-        let held = self.silence_ms(now);
-        self.silence = Silence { ms: held.max(beyond_ms), at: now };
+    /// Records that a call was given up without an answer after it had waited for `excess_ms`
+    /// longer than expected.
+    pub fn note_unanswered(&mut self, excess_ms: f64, now: Millis) {
+        let held = self.unanswered_delay_ms(now);
+        self.unanswered = UnansweredDelay { ms: held.max(excess_ms), at: now };
     }
 
-    /// How much longer than usual an answer may take, as calls that were given up tell; an old word
-    /// weighs less, so that it is tried again.
-    pub fn silence_ms(&self, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.silence.at) as f64;
-        self.silence.ms * 0.5_f64.powf(age / SILENCE_HALF_LIFE_MS)
+    /// Extra latency to expect, derived from unanswered calls; it decays, so that the upstream is
+    /// tried again.
+    pub fn unanswered_delay_ms(&self, now: Millis) -> f64 {
+        let age = now.saturating_sub(self.unanswered.at) as f64;
+        self.unanswered.ms * 0.5_f64.powf(age / UNANSWERED_HALF_LIFE_MS)
     }
 
-    /// Part of its machine's link that is in use, as it told, 0 to 1.
-    pub fn link_in_use(&self, now: Millis) -> f64 {
-        let Some(figures) = self.figures else {
+    /// Reported utilization of its machine's link, 0 to 1.
+    pub fn link_utilization(&self, now: Millis) -> f64 {
+        let Some(last_reply) = self.last_reply else {
             return 0.0;
         };
-        f64::from(figures.reply.link_percent) / 100.0 * figures.belief(now)
+        f64::from(last_reply.reply.link_percent) / 100.0 * last_reply.age_weight(now)
     }
 
-    /// What its machine's link brings of bodies, as it told, bytes a millisecond.
+    /// Reported throughput of its machine's link for request bodies, bytes per millisecond.
     fn transfer_bytes_per_ms(&self) -> Option<f64> {
-        let told = self.figures.map(|figures| figures.reply.transfer_bytes_per_ms);
-        told.filter(|rate| *rate > 0).map(f64::from)
+        let reported = self.last_reply.map(|last_reply| last_reply.reply.transfer_bytes_per_ms);
+        reported.filter(|rate| *rate > 0).map(f64::from)
     }
 
-    /// Whether a body of this length is offered to it, over a link of this node that carries
-    /// `own_bytes_per_ms`: the slower of the two links decides.
+    /// Whether a body of this length must be offered to it before it is sent. The slower of the two
+    /// links decides; `own_bytes_per_ms` is the speed of this node's.
     pub fn is_offered(&self, body_bytes: usize, own_bytes_per_ms: Option<f64>) -> bool {
         let rates = own_bytes_per_ms.into_iter().chain(self.transfer_bytes_per_ms());
         body_bytes > most_unasked_bytes(rates.reduce(f64::min))
     }
 
-    /// Time that an offered body of this length takes over its machine's link, the wait for the
-    /// link included, milliseconds; 0 if nothing is known of that link.
+    /// Time to transfer an offered body of this length over its machine's link, including the wait
+    /// for the link, milliseconds; 0 if nothing is known of that link.
     pub fn transfer_ms(&self, body_bytes: usize, now: Millis) -> f64 {
-        let (Some(figures), Some(rate)) = (self.figures, self.transfer_bytes_per_ms()) else {
+        let (Some(last_reply), Some(rate)) = (self.last_reply, self.transfer_bytes_per_ms()) else {
             return 0.0;
         };
-        let wait_ms = f64::from(figures.reply.transfer_wait_ms) * figures.belief(now);
+        let wait_ms = f64::from(last_reply.reply.transfer_wait_ms) * last_reply.age_weight(now);
         wait_ms + body_bytes as f64 / rate
     }
 
-    /// Share of its recent calls that it failed, as it told, 0 to 1; an old word weighs less, so
-    /// that it is tried again.
-    pub fn failing(&self, now: Millis) -> f64 {
-        let Some(figures) = self.figures else {
+    /// Reported fraction of its recent calls that failed, 0 to 1; it decays, so that the upstream
+    /// is tried again.
+    pub fn failure_rate(&self, now: Millis) -> f64 {
+        let Some(last_reply) = self.last_reply else {
             return 0.0;
         };
-        let age = now.saturating_sub(figures.at) as f64;
-        let told = f64::from(figures.reply.failing_percent) / 100.0;
-        told * 0.5_f64.powf(age / FAILING_HALF_LIFE_MS)
+        let age = now.saturating_sub(last_reply.at) as f64;
+        let reported = f64::from(last_reply.reply.failing_percent) / 100.0;
+        reported * 0.5_f64.powf(age / FAILING_HALF_LIFE_MS)
     }
 
-    /// Takes in what it said with an answer.
+    /// Records the state that came with a reply.
     pub fn note_reply(&mut self, reply: HopReply, now: Millis) {
-        self.figures = Some(Figures { reply, at: now });
+        self.last_reply = Some(LastReply { reply, at: now });
         let service_ms = f64::from(reply.service_ms);
-        self.see_load(reply.running + reply.queued, service_ms, true, now);
-        self.link.tell(f64::from(reply.egress_wait_ms), now);
-        self.link.set_speed(f64::from(reply.egress_bytes_per_ms));
+        self.set_load(reply.running + reply.queued, service_ms, true, now);
+        self.egress.report_wait(f64::from(reply.egress_wait_ms), now);
+        self.egress.set_throughput(f64::from(reply.egress_bytes_per_ms));
         self.note_pace(reply.pace_percent, now);
-        self.silence = Silence::default();
-        self.answered_at = Some(now);
+        self.unanswered = UnansweredDelay::default();
+        self.replied_at = Some(now);
     }
 
-    /// Notes the time a call spent with it, where `usual_ms` is usual.
+    /// Records the latency of a call whose expected latency at average speed is `usual_ms`.
     pub fn note_latency(&mut self, spent_ms: f64, usual_ms: f64, now: Millis) {
         if usual_ms <= 0.0 {
             return;
         }
-        let seen = (spent_ms / usual_ms).clamp(FASTEST, SLOWEST);
-        if !self.is_learned(now) {
+        let sampled_pace = (spent_ms / usual_ms).clamp(MIN_PACE, MAX_PACE);
+        if !self.has_learned_pace(now) {
             self.learned_pace = 1.0;
         }
-        self.timed_at = Some(now);
-        self.learned_pace += (seen - self.learned_pace) * SPEED_WEIGHT;
+        self.pace_learned_at = Some(now);
+        self.learned_pace += (sampled_pace - self.learned_pace) * PACE_WEIGHT;
     }
 
-    /// Notes an answer: it can be reached.
+    /// Records that it answered, which ends the backoff.
     pub fn note_success(&mut self) {
         self.failures = 0;
-        self.rest_until = 0;
+        self.backoff_until = 0;
     }
 
-    /// Notes that it refused a call of this urgency for want of room.
+    /// Records that it refused a call of this urgency for lack of capacity.
     pub fn note_full(&mut self, urgency: Urgency, retry_after_ms: u64, now: Millis) {
-        let until = now + retry_after_ms.min(LONGEST_REFUSAL_MS);
-        self.refusal = Some(Refusal { urgency, until, room_at: now + retry_after_ms });
+        let until = now + retry_after_ms.min(MAX_REFUSAL_MS);
+        self.refusal = Some(Refusal { urgency, until, retry_at: now + retry_after_ms });
     }
 
-    /// Notes that it refused a call since its answer would have waited too long for the link.
+    /// Records that it refused a call because its response would have waited too long for the link.
     pub fn note_link_full(&mut self, retry_after_ms: u64, now: Millis) {
-        self.link.note_full(retry_after_ms, now);
+        self.egress.note_full(retry_after_ms, now);
     }
 
-    /// Whether it lately refused a large answer for want of room on its machine's link.
+    /// Whether it recently refused a large response for lack of capacity on its machine's link.
     pub fn is_link_full(&self, now: Millis) -> bool {
-        self.link.is_full(now)
+        self.egress.is_full(now)
     }
 
-    /// Notes that it was asked for an answer of this length.
-    pub fn note_asked(&mut self, answer_bytes: f64) {
-        self.link.note_asked(answer_bytes);
+    /// Records that a call was sent to it whose response has this expected length.
+    pub fn note_requested(&mut self, answer_bytes: f64) {
+        self.egress.note_requested(answer_bytes);
     }
 
-    /// Time that an answer of this length takes over its machine's link after a run of `work_ms`,
-    /// the wait for the link included, milliseconds; 0 if nothing is known of that link.
+    /// Time from the end of an execution of `work_ms` until a response of this length has been sent
+    /// over its machine's link, including the wait for the link, milliseconds; 0 if nothing is
+    /// known of that link.
     pub(crate) fn answer_ms(&self, answer_bytes: f64, work_ms: f64, now: Millis) -> f64 {
-        self.link.answer_ms(answer_bytes, work_ms, now)
+        self.egress.answer_ms(answer_bytes, work_ms, now)
     }
 
-    /// Notes a failure; it rests for a growing time.
+    /// Records a failure; the backoff grows with consecutive failures.
     pub fn note_failure(&mut self, now: Millis) {
-        let rest = (FIRST_REST_MS << self.failures.min(6)).min(LONGEST_REST_MS);
+        let backoff_ms = (MIN_BACKOFF_MS << self.failures.min(6)).min(MAX_BACKOFF_MS);
         self.failures += 1;
-        self.answered_at = None;
-        self.rest_until = now + rest;
+        self.replied_at = None;
+        self.backoff_until = now + backoff_ms;
     }
 }
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -1,4 +1,4 @@
-//! All upstreams that a node knows, by service; the choice among them is in `choice`.
+//! All upstreams that a node knows, indexed by service. The `choice` module selects among them.
 
 use crate::fleet_size::FleetSize;
 use crate::service_keys::ServiceKeys;
@@ -7,35 +7,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-const MILLIS_PER_SECOND: f64 = 1_000.0;
+const MS_PER_SECOND: f64 = 1_000.0;
 
-/// What changed about a node.
+/// Effect of an update on a node's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeChange {
-    /// Nothing.
+    /// The update was outdated.
     None,
-    /// It is new, or its state is another.
+    /// The node is new, or its record was replaced.
     Changed,
 }
 
-/// Every upstream this node knows.
+/// All upstreams that this node knows.
 #[derive(Clone, Debug)]
 pub struct PlacementView {
     pub(crate) locality: Locality,
     pub(crate) upstreams: BTreeMap<UpstreamKey, Upstream>,
-    /// Which of them run each service; a choice looks at no others.
+    /// Upstreams of each service, so that a choice evaluates no others.
     pub(crate) by_service: BTreeMap<Rc<str>, ServiceKeys>,
-    /// Services with versions that are not all alike.
+    /// Version policies of services whose versions are treated differently.
     policies: BTreeMap<String, VersionPolicy>,
-    /// What cold upstreams of some services are given by all nodes together, calls a second.
+    /// Fleet-wide limit on the calls sent to a cold upstream, calls per second, for services that
+    /// have one.
     cold_rates: BTreeMap<Rc<str>, f64>,
     evacuated: BTreeSet<String>,
-    /// Who shares what cold upstreams are given.
+    /// Number of nodes that share the limits on cold upstreams.
     fleet: FleetSize,
 }
 
 impl PlacementView {
-    /// An empty view of the node at `locality`.
+    /// Creates an empty view for the node at `locality`.
     pub fn new(locality: Locality) -> Self {
         PlacementView {
             locality,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Takes in which versions of upstreams may be given calls.
+    /// Sets which versions may receive calls.
     pub fn set_policies(&mut self, policies: &[VersionPolicy]) {
         let by_service = policies.iter().map(|policy| (policy.service.clone(), policy.clone()));
         self.policies = by_service.collect();
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes in which zones are evacuated: their upstreams are given no calls.
+    /// Sets the evacuated zones, whose upstreams receive no calls.
     pub fn set_evacuated(&mut self, zones: Vec<String>, now: Millis) {
         self.evacuated = zones.into_iter().collect();
         for upstream in self.upstreams.values_mut() {
@@ -66,50 +67,51 @@
         }
     }
 
-    /// Whether upstreams of a service are there, and all that would be given calls are in evacuated
-    /// zones.
+    /// Whether a service has no stable upstream that may receive calls, and at least one upstream
+    /// in an evacuated zone.
     pub fn is_evacuated(&self, service: &str) -> bool {
         !self.has_live(service) && self.of_service(service).any(|(_, held)| held.is_evacuated())
     }
 
-    /// Takes in what cold upstreams are given by all nodes together, calls a second; of services that
-    /// are not named, as much as others.
+    /// Sets the fleet-wide limit on the calls sent to a cold upstream, calls per second. Services
+    /// that are not listed have no such limit.
     pub fn set_cold_rates(&mut self, rates: BTreeMap<Rc<str>, f64>) {
         self.cold_rates = rates;
     }
 
-    /// This node's part of what a cold upstream of a service is given: the time from one call of it
-    /// to the next, milliseconds. Each node keeps to its part, so that all together send a cold
-    /// upstream what it bears; nothing has to be told, and no sender has to know of another.
+    /// Minimum time between two calls of this node to a cold upstream of a service, milliseconds;
+    /// `None` without a limit. Each node keeps to its share, so that the fleet stays within the
+    /// limit without coordination.
     pub(crate) fn cold_spacing_ms(&self, service: &str) -> Option<f64> {
         let per_s = self.cold_rates.get(service)?;
-        Some(MILLIS_PER_SECOND * self.fleet.largest() as f64 / per_s)
+        Some(MS_PER_SECOND * self.fleet.largest() as f64 / per_s)
     }
 
-    /// Notes that a call is sent to an upstream, whose like are answered with so many bytes.
+    /// Records that a call was sent to an upstream; `answer_bytes` is the expected length of its
+    /// response.
     pub fn note_sent(&mut self, key: &UpstreamKey, answer_bytes: f64, now: Millis) {
         let service = self.upstreams.get(key).map(|held| held.record.service.as_str());
         let spacing_ms = service.and_then(|service| self.cold_spacing_ms(service));
         if let Some(held) = self.upstreams.get_mut(key) {
             held.outstanding += 1;
-            held.note_asked(answer_bytes.max(0.0));
-            held.cold_part_mut().note_sent(spacing_ms.unwrap_or(0.0), now);
+            held.note_requested(answer_bytes.max(0.0));
+            held.cold_limit_mut().note_sent(spacing_ms.unwrap_or(0.0), now);
         }
     }
 
-    /// What is known of the versions of a service.
+    /// Version policy of a service, if one is known.
     pub fn policy(&self, service: &str) -> Option<&VersionPolicy> {
         self.policies.get(service)
     }
 
-    /// Takes in a record; an older one of the same life changes nothing.
+    /// Applies a record; an older one of the same process is ignored.
     pub fn update(&mut self, record: NodeRecord, now: Millis) -> NodeChange {
         match self.upstreams.get_mut(&record.address) {
             None => {
                 self.index(&record);
                 let phase = cold_phase(self.locality.own(), &record.address);
                 let mut upstream = Upstream::new(record, now);
-                upstream.cold_part_mut().set_phase(phase);
+                upstream.cold_limit_mut().set_phase(phase);
                 upstream.apply_policy(self.policies.get(&upstream.record.service));
                 upstream.set_evacuated(self.evacuated.contains(&upstream.record.zone), now);
                 self.upstreams.insert(upstream.record.address, upstream);
@@ -117,16 +119,16 @@
                 NodeChange::Changed
             }
             Some(held) => {
-                let older =
+                let outdated =
                     held.record.life == record.life && held.record.sequence >= record.sequence;
-                if older {
+                if outdated {
                     return NodeChange::None;
                 }
                 let moved =
                     held.record.service != record.service || held.record.zone != record.zone;
                 if moved {
-                    let (former, address) = (held.record.service.clone(), record.address);
-                    remove_from_index(&mut self.by_service, &former, &address);
+                    let (former_service, address) = (held.record.service.clone(), record.address);
+                    remove_from_index(&mut self.by_service, &former_service, &address);
                     self.index(&record);
                 }
                 if let Some(held) = self.upstreams.get_mut(&record.address) {
@@ -158,15 +160,15 @@
         keys.filter_map(|key| self.upstreams.get_key_value(key))
     }
 
-    /// Removes the nodes that no coordinator lists any more, but for those that answer this node
-    /// all the same. If a service would lose all of its live upstreams at once, they stay until
-    /// one returns.
+    /// Removes nodes that no coordinator lists any more, except those that recently replied to this
+    /// node. If a service would lose all of its live upstreams at once, they are kept until one is
+    /// listed again.
     pub fn retain(&mut self, is_listed: impl Fn(&UpstreamKey) -> bool, now: Millis) {
         for (key, upstream) in &mut self.upstreams {
             upstream.set_listed(is_listed(key));
         }
         let keep = |upstream: &Upstream| upstream.is_present(now);
-        let remaining: BTreeSet<String> = self
+        let services_with_live: BTreeSet<String> = self
             .upstreams
             .values()
             .filter(|upstream| keep(upstream) && upstream.is_live())
@@ -175,8 +177,8 @@
         let by_service = &mut self.by_service;
         self.upstreams.retain(|key, upstream| {
             let service = &upstream.record.service;
-            let last = upstream.is_live() && !remaining.contains(service);
-            let kept = keep(upstream) || last;
+            let would_empty_service = upstream.is_live() && !services_with_live.contains(service);
+            let kept = keep(upstream) || would_empty_service;
             if !kept {
                 remove_from_index(by_service, service, key);
             }
@@ -185,75 +187,75 @@
         self.fleet.note(self.upstreams.len(), now);
     }
 
-    /// Number of nodes known.
+    /// Number of known nodes.
     pub fn nodes(&self) -> usize {
         self.upstreams.len()
     }
 
-    /// Upstreams that may be given calls, and the others.
+    /// Number of upstreams that may receive calls, and number of the others.
     pub fn live_and_others(&self) -> (usize, usize) {
         let live = self.upstreams.values().filter(|held| held.is_live()).count();
         (live, self.upstreams.len() - live)
     }
 
-    /// One upstream.
+    /// Returns an upstream.
     pub fn get(&self, key: &UpstreamKey) -> Option<&Upstream> {
         self.upstreams.get(key)
     }
 
-    /// One upstream, to note something of it.
+    /// Returns an upstream for modification.
     pub fn get_mut(&mut self, key: &UpstreamKey) -> Option<&mut Upstream> {
         self.upstreams.get_mut(key)
     }
 
-    /// Takes in how busy an upstream was a moment ago; one that is not known is passed over.
+    /// Records the reported load of an upstream; unknown upstreams are ignored.
     pub fn note_load(&mut self, key: &UpstreamKey, load: UpstreamLoad, now: Millis) {
         if let Some(upstream) = self.upstreams.get_mut(key) {
             upstream.note_load(load, now);
         }
     }
 
-    /// Whether a service has an upstream that may be given calls.
+    /// Whether a service has a stable upstream that may receive calls.
     pub fn has_live(&self, service: &str) -> bool {
         self.of_service(service).any(|(_, held)| held.is_stable())
     }
 
-    /// Part of the slots of a service that is free for all that was heard of late, 0 to 1; `None` if
-    /// too little was heard to tell.
+    /// Estimated fraction of free slots of a service, 0 to 1; `None` unless more than half of its
+    /// live upstreams reported their load recently.
     pub fn free_slot_fraction(&self, service: &str, now: Millis) -> Option<f64> {
-        let (mut live, mut heard, mut slots, mut free) = (0, 0, 0.0, 0.0);
+        let (mut live, mut reported, mut slots, mut free) = (0, 0, 0.0, 0.0);
         for (_, held) in self.of_service(service).filter(|(_, held)| held.is_stable()) {
             live += 1;
             if let Some(free_slots) = held.free_slots(now) {
-                heard += 1;
+                reported += 1;
                 slots += f64::from(held.limit());
                 free += free_slots;
             }
         }
-        let enough = heard * 2 > live;
-        enough.then(|| free / slots)
+        let is_majority = reported * 2 > live;
+        is_majority.then(|| free / slots)
     }
 
-    /// When the first of the upstreams of a service that lately refused is expected to have room.
+    /// Earliest time at which an upstream of a service that recently refused a call may be retried.
     pub fn earliest_retry_at(&self, service: &str, now: Millis) -> Option<Millis> {
         let live = self.of_service(service).filter(|(_, held)| held.is_stable());
-        live.filter_map(|(_, held)| held.room_at(now)).min()
+        live.filter_map(|(_, held)| held.retry_at(now)).min()
     }
 
-    pub(crate) fn offers(&self, upstream: &Upstream, body_bytes: usize) -> bool {
+    pub(crate) fn must_offer(&self, upstream: &Upstream, body_bytes: usize) -> bool {
         upstream.is_offered(body_bytes, self.locality.link_bytes_per_ms())
     }
 
-    /// Whether a body of this length is only offered to an upstream at first, since it would occupy
-    /// one of the two links for long; the sidecar there grants it when its link has room.
+    /// Whether a body of this length must first be offered to an upstream, since it would occupy
+    /// one of the two links for long. The upstream's sidecar grants it when its link has capacity.
     pub fn is_offered(&self, key: &UpstreamKey, body_bytes: usize) -> bool {
-        let elsewhere = key != self.locality.own();
-        elsewhere && self.get(key).is_some_and(|upstream| self.offers(upstream, body_bytes))
+        let is_remote = key != self.locality.own();
+        is_remote && self.get(key).is_some_and(|upstream| self.must_offer(upstream, body_bytes))
     }
 }
 
-/// When the first part of a cold upstream comes to a node, as a part of the time between two, 0 to 1:
-/// drawn from both addresses, so that the parts of all nodes are spread over that time.
+/// Offset of this node's first call to a cold upstream, as a fraction of the spacing, 0 to 1. It is
+/// derived from both addresses, so that the nodes' calls are spread over the spacing.
 fn cold_phase(own: &UpstreamKey, upstream: &UpstreamKey) -> f64 {
     let bits = |key: &UpstreamKey| u64::from(key.ip.to_bits()) ^ u64::from(key.port) << 32;
     let seed = bits(own).rotate_left(32) ^ bits(upstream);
--- a/crates/placement/tests/egress.rs
+++ b/crates/placement/tests/egress.rs
@@ -133,7 +133,7 @@
 fn what_this_node_asked_for_since_it_was_told_counts() {
     let mut view = view(&[(1, "a"), (2, "a")]);
     for _ in 0..20 {
-        view.get_mut(&address(1)).expect("there").note_asked(LARGE_BYTES);
+        view.get_mut(&address(1)).expect("there").note_requested(LARGE_BYTES);
     }
     assert_eq!(counts(&view, LARGE_BYTES, 10), BTreeMap::from([(2, 100)]));
     view.get_mut(&address(1)).expect("there").note_reply(reply(0), 20);
