--- a/crates/placement/examples/choice_cost.rs
+++ b/crates/placement/examples/choice_cost.rs
@@ -1,4 +1,6 @@
-//! What one choice costs by the size of the service: `cargo run --release --example choice_cost`.
+//! Measures the cost of selecting an upstream by the size of the service.
+//!
+//! Run with `cargo run --release --example choice_cost`.
 
 use mesh::{InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track};
 use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
@@ -8,10 +10,10 @@
 const SERVICE: &str = "fares";
 const ZONES: u32 = 6;
 const CHOICES: u32 = 20_000;
-/// Calls that this node has at once, so that its choices differ.
+/// Number of calls in flight, so that the choices differ.
 const OUTSTANDING: usize = 40;
 
-/// The nodes of a zone have neighbouring addresses, and are told of together.
+/// The nodes of a zone have consecutive addresses and are added together.
 fn record(number: u32, zone: u32) -> NodeRecord {
     NodeRecord {
         address: NodeAddress { ip: Ipv4Addr::from(0x0a00_0000 + number), port: 1 },
@@ -39,7 +41,7 @@
             view.update(record(number, number * ZONES / upstreams), 0);
         }
         let mut random = fastrand::Rng::with_seed(1);
-        let mut crossed = 0;
+        let mut left_zone = 0;
         let mut outstanding = std::collections::VecDeque::new();
         let began = Instant::now();
         for _ in 0..CHOICES {
@@ -57,15 +59,15 @@
             let Some(chosen) = view.choose(&request, 0, &mut random) else { continue };
             let held = view.get_mut(&chosen).expect("it was chosen");
             held.outstanding += 1;
-            crossed += u32::from(held.record.zone != "zone-2");
+            left_zone += u32::from(held.record.zone != "zone-2");
             outstanding.push_back(chosen);
             if outstanding.len() > OUTSTANDING {
-                let over = outstanding.pop_front().expect("there are some");
-                view.get_mut(&over).expect("it was chosen").outstanding -= 1;
+                let ended = outstanding.pop_front().expect("calls are in flight");
+                view.get_mut(&ended).expect("it was chosen").outstanding -= 1;
             }
         }
         let each = began.elapsed() / CHOICES;
-        let crossed = f64::from(crossed) * 100.0 / f64::from(CHOICES);
-        println!("{upstreams} upstreams: {each:?} a choice, {crossed:.1} % leave the zone");
+        let left_zone = f64::from(left_zone) * 100.0 / f64::from(CHOICES);
+        println!("{upstreams} upstreams: {each:?} a choice, {left_zone:.1} % leave the zone");
     }
 }
--- a/crates/placement/tests/canary.rs
+++ b/crates/placement/tests/canary.rs
@@ -1,4 +1,5 @@
-//! Which upstreams a call may go to while versions are not all alike, and how exact shares are.
+//! Upstreams that a call may go to while versions are treated differently, and the accuracy of a
+//! canary's share.
 
 use mesh::{
     CandidateShare, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track, VersionPolicy,
@@ -87,7 +88,7 @@
 fn a_version_under_trial_gets_its_share_only() {
     let view = view(&[policy(candidate(25), &[])]);
     assert_eq!(hosts(&view, Track::Stable), [1, 2]);
-    assert_eq!(hosts(&view, Track::Candidate), [1, 2, 11, 12], "the others, if it has no room");
+    assert_eq!(hosts(&view, Track::Candidate), [1, 2, 11, 12], "the stable ones as a fallback");
     assert_eq!(view.live_and_others(), (4, 0));
 }
 
@@ -112,12 +113,12 @@
     assert_eq!(hosts(&view, Track::Stable), [1, 2]);
     let restarted = NodeRecord { life: 2, ..record(1, "v2") };
     view.update(restarted, NOW);
-    assert_eq!(hosts(&view, Track::Stable), [2], "its machine runs the rejected version now");
+    assert_eq!(hosts(&view, Track::Stable), [2], "it now runs the rejected version");
 }
 
 #[test]
 fn the_share_of_a_fleet_is_close_to_exact() {
-    let share = candidate(25).expect("a share");
+    let share = candidate(25).expect("some share was given");
     let mut drawn = 0;
     for node in 0..81 {
         let mut shares = CanaryShares::default();
@@ -125,6 +126,6 @@
         let tracks = (0..60).map(|_| shares.draw(SERVICE, &share, &mut random));
         drawn += tracks.filter(|track| *track == Track::Candidate).count();
     }
-    // 121.5 of 4,860.
+    // Expected: 121.5 of 4,860.
     assert!((100..=145).contains(&drawn), "{drawn}");
 }
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -1,4 +1,4 @@
-//! How much a cold upstream is sent by all nodes together.
+//! The fleet-wide limit on the calls sent to a cold upstream.
 
 use mesh::{InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track};
 use placement::{LatencyHistogram, Locality, PlacementView, Request, Urgency};
@@ -33,8 +33,9 @@
     }
 }
 
-/// Nodes that know `UPSTREAMS` of a service, of which those in `cold` have just become cold.
-fn nodes(cold: impl Fn(u8) -> bool, bounded: bool) -> Vec<PlacementView> {
+/// Nodes that know `UPSTREAMS` upstreams of a service, of which those selected by `cold` just
+/// became cold.
+fn nodes(cold: impl Fn(u8) -> bool, limited: bool) -> Vec<PlacementView> {
     let node = |own: u8| {
         let mut view = PlacementView::new(Locality::new(address(own), "a"));
         for host in 0..UPSTREAMS {
@@ -46,7 +47,7 @@
         for host in (0..UPSTREAMS).filter(|host| cold(*host)) {
             view.update(record(host, COLD_MS), 0);
         }
-        if bounded {
+        if limited {
             view.set_cold_rates([(SERVICE.into(), PER_S)].into());
         }
         view
@@ -54,7 +55,7 @@
     (100..130).map(node).collect()
 }
 
-/// Calls that each upstream is sent in a second in which each node has one call each 20 ms.
+/// Calls sent to each upstream within one second, in which each node makes one call every 20 ms.
 fn sent_in_a_second(views: &mut [PlacementView]) -> Vec<usize> {
     let mut random = fastrand::Rng::with_seed(7);
     let mut sent = vec![0; usize::from(UPSTREAMS)];
@@ -86,7 +87,7 @@
     let cold = sent[usize::from(COLD)];
     assert!((5..=30).contains(&cold), "{sent:?}");
     let all: usize = sent.iter().sum();
-    assert_eq!(all, 30 * 50, "every call has an upstream");
+    assert_eq!(all, 30 * 50, "every call gets an upstream");
 }
 
 #[test]
@@ -97,12 +98,12 @@
 
 #[test]
 fn where_all_are_cold_calls_are_sent_all_the_same() {
-    // Each upstream refuses what it does not bear; a sender cannot know what others send.
+    // Each upstream refuses excess calls itself; a sender does not know what others send.
     let sent = sent_in_a_second(&mut nodes(|_| true, true));
     assert_eq!(sent.iter().sum::<usize>(), 30 * 50, "{sent:?}");
 }
 
-// Nodes whose lists had shrunk sent a cold upstream more than their parts.
+// Guards against nodes exceeding their share of the limit after their list of known nodes shrank.
 #[test]
 fn nodes_that_lost_sight_of_others_send_a_cold_upstream_no_more() {
     let mut views = nodes(|host| host == COLD, true);
--- a/crates/placement/tests/egress.rs
+++ b/crates/placement/tests/egress.rs
@@ -1,4 +1,4 @@
-//! Large answers: the links of the machines that give them, and zones.
+//! Placement of calls with large responses by the load of links and by zone.
 
 use mesh::{
     HopOutcome, HopReply, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track,
@@ -62,12 +62,12 @@
     }
 }
 
-/// The view of a node in zone `a`, of upstreams whose links are not busy.
+/// The view of a node in zone `a`; the links of all upstreams are idle.
 fn view(hosts: &[(u8, &str)]) -> PlacementView {
     let mut view = PlacementView::new(Locality::new(address(200), "a"));
     for (host, zone) in hosts {
         view.update(record(*host, zone), 0);
-        view.get_mut(&address(*host)).expect("there").note_reply(reply(0), 0);
+        view.get_mut(&address(*host)).expect("known upstream").note_reply(reply(0), 0);
     }
     view
 }
@@ -91,7 +91,7 @@
 fn counts(view: &PlacementView, answer_bytes: f64, now: u64) -> BTreeMap<u8, u32> {
     let mut counts = BTreeMap::new();
     for seed in 0..100 {
-        let host = chosen(view, answer_bytes, now, seed).expect("some have room");
+        let host = chosen(view, answer_bytes, now, seed).expect("some upstream has capacity");
         *counts.entry(host).or_default() += 1;
     }
     counts
@@ -100,11 +100,11 @@
 #[test]
 fn a_large_answer_is_asked_for_where_the_link_has_room_and_a_small_one_anywhere() {
     let mut view = view(&[(1, "a"), (2, "a")]);
-    view.get_mut(&address(1)).expect("there").note_reply(reply(900), 0);
+    view.get_mut(&address(1)).expect("known upstream").note_reply(reply(900), 0);
     assert_eq!(counts(&view, LARGE_BYTES, 10), BTreeMap::from([(2, 100)]));
     let small = counts(&view, SMALL_BYTES, 10);
     assert!(small[&1] > 25 && small[&2] > 25, "{small:?}");
-    // The word of it is old.
+    // The report has expired.
     let later = counts(&view, LARGE_BYTES, 2_000);
     assert!(later[&1] > 25 && later[&2] > 25, "{later:?}");
 }
@@ -122,7 +122,7 @@
 fn nodes_that_are_told_the_same_do_not_all_go_to_the_same_machine() {
     let mut view = view(&[(1, "a"), (2, "a"), (3, "a")]);
     for (host, wait_ms) in [(1, 400), (2, 500), (3, 450)] {
-        view.get_mut(&address(host)).expect("there").note_reply(reply(wait_ms), 0);
+        view.get_mut(&address(host)).expect("known upstream").note_reply(reply(wait_ms), 0);
     }
     let spread = counts(&view, LARGE_BYTES, 10);
     assert!(spread.values().all(|count| *count < 60), "{spread:?}");
@@ -133,35 +133,52 @@
 fn what_this_node_asked_for_since_it_was_told_counts() {
     let mut view = view(&[(1, "a"), (2, "a")]);
     for _ in 0..20 {
-        view.get_mut(&address(1)).expect("there").note_requested(LARGE_BYTES);
+        view.get_mut(&address(1)).expect("known upstream").note_requested(LARGE_BYTES);
     }
     assert_eq!(counts(&view, LARGE_BYTES, 10), BTreeMap::from([(2, 100)]));
-    view.get_mut(&address(1)).expect("there").note_reply(reply(0), 20);
-    assert!(counts(&view, LARGE_BYTES, 20)[&1] > 25, "its own word covers them");
+    view.get_mut(&address(1)).expect("known upstream").note_reply(reply(0), 20);
+    assert!(counts(&view, LARGE_BYTES, 20)[&1] > 25, "its own report includes them");
 }
 
 #[test]
 fn one_whose_link_is_full_is_not_asked_for_large_answers_and_tells_when_to_return() {
     let mut view = view(&[(1, "a")]);
-    view.get_mut(&address(1)).expect("there").note_link_full(400, 10);
+    view.get_mut(&address(1)).expect("known upstream").note_link_full(400, 10);
     assert_eq!(chosen(&view, LARGE_BYTES, 11, 1), None);
     assert_eq!(view.earliest_retry_at(SERVICE, 11), Some(410));
-    assert_eq!(chosen(&view, SMALL_BYTES, 11, 1), Some(1), "a small one needs no room there");
-    assert_eq!(chosen(&view, LARGE_BYTES, 161, 1), Some(1), "a refusal is believed for so long");
+    assert_eq!(
+        chosen(&view, SMALL_BYTES, 11, 1),
+        Some(1),
+        "a small response does not need the link"
+    );
+    assert_eq!(chosen(&view, LARGE_BYTES, 161, 1), Some(1), "the refusal has expired");
 }
 
 #[test]
 fn a_large_answer_comes_from_another_zone_only_if_there_is_nobody_in_the_own() {
     let mut view = view(&[(1, "a"), (2, "b")]);
-    view.get_mut(&address(1)).expect("there").note_reply(reply(60_000), 0);
-    assert_eq!(chosen(&view, LARGE_BYTES, 10, 1), Some(1), "late rather than from there");
-    view.get_mut(&address(1)).expect("there").note_link_full(400, 10);
-    assert_eq!(chosen(&view, LARGE_BYTES, 11, 1), None, "refused rather than from there");
-    // 16,667 bytes are worth a call: a shorter one may come from there.
+    view.get_mut(&address(1)).expect("known upstream").note_reply(reply(60_000), 0);
+    assert_eq!(
+        chosen(&view, LARGE_BYTES, 10, 1),
+        Some(1),
+        "a late answer is preferred to one from another zone"
+    );
+    view.get_mut(&address(1)).expect("known upstream").note_link_full(400, 10);
+    assert_eq!(
+        chosen(&view, LARGE_BYTES, 11, 1),
+        None,
+        "a refusal is preferred to an answer from another zone"
+    );
+    // The transfer of 16,667 bytes costs as much as a call is worth; shorter responses may cross
+    // zones.
     assert_eq!(chosen(&view, 16_000.0, 11, 1), Some(2));
     assert_eq!(chosen(&view, 17_000.0, 11, 1), None);
-    view.get_mut(&address(1)).expect("there").note_failure(12);
-    assert_eq!(chosen(&view, LARGE_BYTES, 13, 1), Some(2), "the one here rests after a failure");
+    view.get_mut(&address(1)).expect("known upstream").note_failure(12);
+    assert_eq!(
+        chosen(&view, LARGE_BYTES, 13, 1),
+        Some(2),
+        "the local one is in backoff after a failure"
+    );
     view.retain(|key| *key == address(2), 20_000);
-    assert_eq!(chosen(&view, LARGE_BYTES, 20_000, 1), Some(2), "it is gone");
+    assert_eq!(chosen(&view, LARGE_BYTES, 20_000, 1), Some(2), "the local one was removed");
 }
--- a/crates/placement/tests/hedge.rs
+++ b/crates/placement/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! When a second try of a call pays, and how many are sent.
+//! When a hedge is worthwhile, and how many the budget allows.
 
 use expect_test::expect;
 use placement::{BudgetBounds, HedgePlan, LatencyHistogram, RequestOrigin, RetryBudget};
@@ -6,11 +6,11 @@
 
 const SERVICE: &str = "fares";
 
-/// Work of which one in `every` takes seven times as long, and the others up to a third more or less.
-fn tailed(every: u32, times: u32) -> LatencyHistogram {
+/// Latencies of which one in `every` is seven times as long; the others vary by about a third.
+fn tailed(every: u32, samples: u32) -> LatencyHistogram {
     let mut random = fastrand::Rng::with_seed(5);
     let mut spread = LatencyHistogram::default();
-    for number in 0..times {
+    for number in 0..samples {
         let factor = if number % every == 7 % every { 7.0 } else { 1.0 };
         spread.note(factor * (0.6 + 0.6 * random.f64()));
     }
@@ -19,39 +19,39 @@
 
 #[test]
 fn a_second_try_is_sent_when_the_first_is_likely_of_the_tail() {
-    let mut seen = String::new();
+    let mut output = String::new();
     type Row = (&'static str, f64, f64, f64, f64, u32, u32);
     let rows: [Row; 10] = [
-        ("target of three times the usual", 200.0, 1.0, 600.0, 1_500.0, 30, 1_000),
+        ("target of three times the usual latency", 200.0, 1.0, 600.0, 1_500.0, 30, 1_000),
         ("at a quick upstream", 200.0, 0.6, 600.0, 1_500.0, 30, 1_000),
         ("at a slow upstream", 200.0, 1.6, 600.0, 1_500.0, 30, 1_000),
-        ("no time for a second", 200.0, 1.0, 250.0, 250.0, 30, 1_000),
+        ("no time for a hedge", 200.0, 1.0, 250.0, 250.0, 30, 1_000),
         ("only the deadline can be met", 200.0, 1.0, 250.0, 1_200.0, 30, 1_000),
-        ("all the time there is", 200.0, 1.0, 4_000.0, 8_000.0, 30, 1_000),
-        ("a tail of one in a thousand", 200.0, 1.0, 600.0, 1_500.0, 2_000, 1_000),
-        ("nothing was seen", 200.0, 1.0, 600.0, 1_500.0, 30, 0),
-        ("little was seen", 200.0, 1.0, 600.0, 1_500.0, 8, 18),
-        ("nothing is usual", 0.0, 1.0, 600.0, 1_500.0, 30, 1_000),
+        ("ample time", 200.0, 1.0, 4_000.0, 8_000.0, 30, 1_000),
+        ("tail of one in a thousand", 200.0, 1.0, 600.0, 1_500.0, 2_000, 1_000),
+        ("no samples", 200.0, 1.0, 600.0, 1_500.0, 30, 0),
+        ("few samples", 200.0, 1.0, 600.0, 1_500.0, 8, 18),
+        ("no expected latency", 0.0, 1.0, 600.0, 1_500.0, 30, 1_000),
     ];
-    for (name, usual_ms, pace, target_ms, deadline_ms, every, times) in rows {
-        let spread = tailed(every, times);
+    for (name, usual_ms, pace, target_ms, deadline_ms, every, samples) in rows {
+        let spread = tailed(every, samples);
         let plan = HedgePlan { usual_ms, pace, spread: &spread, target_ms, deadline_ms };
         let delay = plan.delay_ms().map(|ms| ms.round());
-        writeln!(seen, "{name}: {delay:?}").expect("text");
+        writeln!(output, "{name}: {delay:?}").expect("writing to a string succeeds");
     }
     expect![[r#"
-        target of three times the usual: Some(238.0)
+        target of three times the usual latency: Some(238.0)
         at a quick upstream: Some(143.0)
         at a slow upstream: Some(381.0)
-        no time for a second: None
+        no time for a hedge: None
         only the deadline can be met: Some(238.0)
-        all the time there is: Some(3200.0)
-        a tail of one in a thousand: Some(476.0)
-        nothing was seen: None
-        little was seen: None
-        nothing is usual: None
+        ample time: Some(3200.0)
+        tail of one in a thousand: Some(476.0)
+        no samples: None
+        few samples: None
+        no expected latency: None
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&output);
 }
 
 #[test]
@@ -73,8 +73,9 @@
     }
 }
 
-/// Notes as many requests a window as given, for five windows, and returns the end of the last.
-fn save_up(budget: &mut RetryBudget, nodes: usize, requests: u64) -> u64 {
+/// Records the given number of requests per window for five windows, and returns the end of the
+/// last one.
+fn accumulate(budget: &mut RetryBudget, nodes: usize, requests: u64) -> u64 {
     let end = 50_000;
     for now in (0..end).step_by(10) {
         budget.note_nodes(nodes, now);
@@ -88,41 +89,41 @@
 #[test]
 fn second_tries_leave_room_for_repeats_after_failures() {
     let bounds = BudgetBounds { ratio: 0.2, slack: 160.0, window_ms: 10_000 };
-    let mut seen = String::new();
+    let mut output = String::new();
     for (nodes, requests) in [(60, 0), (60, 100), (60, 1_000), (1, 100)] {
         let mut budget = RetryBudget::new(bounds);
-        let now = save_up(&mut budget, nodes, requests);
+        let now = accumulate(&mut budget, nodes, requests);
         let mut hedges = 0;
         while budget.allows_hedge(SERVICE, RequestOrigin::Caller, nodes, now) {
             budget.note_hedge(SERVICE, RequestOrigin::Caller, now);
             hedges += 1;
         }
-        let mut repeats = 0;
+        let mut retries = 0;
         while budget.allows(SERVICE, RequestOrigin::Caller, nodes, now) {
             budget.note_retry(SERVICE, RequestOrigin::Caller, now);
-            repeats += 1;
+            retries += 1;
         }
-        writeln!(seen, "{nodes} nodes, {requests}: {hedges} hedges and {repeats} repeats")
-            .expect("text");
+        writeln!(output, "{nodes} nodes, {requests}: {hedges} hedges and {retries} retries")
+            .expect("writing to a string succeeds");
         assert!(
             !budget.allows_hedge(SERVICE, RequestOrigin::Caller, nodes, now),
-            "beyond the bound of all"
+            "the whole budget is spent"
         );
     }
     expect![[r#"
-        60 nodes, 0: 0 hedges and 1 repeats
-        60 nodes, 100: 3 hedges and 6 repeats
-        60 nodes, 1000: 32 hedges and 49 repeats
-        1 nodes, 100: 28 hedges and 44 repeats
+        60 nodes, 0: 0 hedges and 1 retries
+        60 nodes, 100: 3 hedges and 6 retries
+        60 nodes, 1000: 32 hedges and 49 retries
+        1 nodes, 100: 28 hedges and 44 retries
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&output);
 }
 
 #[test]
 fn repeats_after_failures_take_the_room_of_second_tries() {
     let bounds = BudgetBounds { ratio: 0.2, slack: 0.0, window_ms: 10_000 };
     let mut budget = RetryBudget::new(bounds);
-    let now = save_up(&mut budget, 1, 100);
+    let now = accumulate(&mut budget, 1, 100);
     assert!(budget.allows_hedge(SERVICE, RequestOrigin::Caller, 1, now));
     while budget.allows(SERVICE, RequestOrigin::Caller, 1, now) {
         budget.note_retry(SERVICE, RequestOrigin::Caller, now);
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -1,4 +1,5 @@
-//! The choice among the upstreams of a large service: own zone first, a fair sample, none overlooked.
+//! Selection among the upstreams of a large service: local zone first, evenly within a zone, and no
+//! upstream overlooked by the sampling.
 
 use mesh::{
     CandidateShare, InstanceRecord, InstanceState, NodeAddress, NodeRecord, Track, VersionPolicy,
@@ -14,7 +15,7 @@
 const CALLS: u64 = 4_000;
 
 fn address(number: u32) -> NodeAddress {
-    // Addresses are given out zone by zone.
+    // Addresses are allocated zone by zone.
     let zone = (number % ZONES) as u8;
     NodeAddress { ip: Ipv4Addr::new(10, zone, (number / 200) as u8, (number % 200) as u8), port: 1 }
 }
@@ -61,14 +62,14 @@
     }
 }
 
-/// How often each upstream is chosen, each choice by an idle view.
+/// Number of times each upstream is chosen, with a view that is not updated between choices.
 fn chosen(view: &PlacementView) -> BTreeMap<NodeAddress, u64> {
     let spread = LatencyHistogram::default();
     let mut counts = BTreeMap::new();
     for call in 0..CALLS {
         let mut random = fastrand::Rng::with_seed(call);
-        let found = view.choose(&request(Track::Stable, &spread), 0, &mut random);
-        *counts.entry(found.expect("all are idle")).or_default() += 1;
+        let chosen_upstream = view.choose(&request(Track::Stable, &spread), 0, &mut random);
+        *counts.entry(chosen_upstream.expect("all upstreams are idle")).or_default() += 1;
     }
     counts
 }
@@ -90,14 +91,14 @@
     assert_eq!(counts.len(), expected);
     let mean = CALLS / expected as u64;
     let most = counts.values().max().copied().unwrap_or(0);
-    assert!(most < mean * 2, "{most} of {mean} in the mean");
+    assert!(most < mean * 2, "maximum {most}, mean {mean}");
 }
 
 #[test]
 fn while_the_zone_is_full_calls_go_to_all_other_zones_alike() {
     let mut view = view();
     for number in (0..UPSTREAMS).filter(|number| number % ZONES == OWN_ZONE) {
-        let held = view.get_mut(&address(number)).expect("there");
+        let held = view.get_mut(&address(number)).expect("known upstream");
         held.note_full(Urgency { rank: 1, target_ms: 400 }, 500, 0);
     }
     let mut by_zone: BTreeMap<u32, u64> = BTreeMap::new();
@@ -114,7 +115,7 @@
     let mut view = view();
     let only = 101;
     for number in (0..UPSTREAMS).filter(|number| *number != only) {
-        let held = view.get_mut(&address(number)).expect("there");
+        let held = view.get_mut(&address(number)).expect("known upstream");
         held.note_full(Urgency { rank: 1, target_ms: 400 }, 500, 0);
     }
     let counts = chosen(&view);
@@ -134,8 +135,8 @@
     let spread = LatencyHistogram::default();
     for call in 0..200 {
         let mut random = fastrand::Rng::with_seed(call);
-        let found = view.choose(&request(Track::Candidate, &spread), 0, &mut random);
-        assert_eq!(found, Some(address(77)));
+        let chosen_upstream = view.choose(&request(Track::Candidate, &spread), 0, &mut random);
+        assert_eq!(chosen_upstream, Some(address(77)));
     }
 }
 
@@ -149,7 +150,7 @@
     assert!(!chosen(&view).contains_key(&address(moved)));
 }
 
-/// A view of zones in two regions: zones 0 to 2 in one, the others in another.
+/// A view of upstreams in two regions: zones 0 to 2 in one, the others in the other.
 fn view_of_regions(upstreams: u32) -> PlacementView {
     let own = NodeAddress { ip: Ipv4Addr::new(10, 200, 0, 1), port: 1 };
     let region = |zone: u32| if zone < 3 { "west" } else { "east" };
@@ -165,7 +166,7 @@
 
 fn fill(view: &mut PlacementView, upstreams: u32, zones: &[u32]) {
     for number in (0..upstreams).filter(|number| zones.contains(&(number % ZONES))) {
-        let held = view.get_mut(&address(number)).expect("there");
+        let held = view.get_mut(&address(number)).expect("known upstream");
         held.note_full(Urgency { rank: 1, target_ms: 400 }, 500, 0);
     }
 }
--- a/crates/placement/tests/spread.rs
+++ b/crates/placement/tests/spread.rs
@@ -1,4 +1,4 @@
-//! The risk of being late, learned from times seen.
+//! The risk of being late, estimated from recorded latencies.
 
 use expect_test::expect;
 use placement::{LatencyHistogram, LatencySample, RouteLatencies};
@@ -13,8 +13,7 @@
     })
 }
 
-/// Times spread as those of work with a long tail: most are short, one in twenty takes four times
-/// as long as usual.
+/// Latencies with a long tail: most are short, one in twenty takes four times as long as expected.
 fn tailed() -> LatencyHistogram {
     let mut spread = LatencyHistogram::default();
     for number in 0..2_000 {
@@ -53,11 +52,11 @@
         for _ in 0..random.usize(0..300) {
             spread.note(random.f64() * 20.0);
         }
-        let mut former = 1.0;
+        let mut previous = 1.0;
         for step in 0..400 {
             let risk = spread.beyond(f64::from(step) * 0.05);
-            assert!((0.0..=former + 1e-6).contains(&risk), "{risk} after {former}");
-            former = risk;
+            assert!((0.0..=previous + 1e-6).contains(&risk), "{risk} after {previous}");
+            previous = risk;
         }
     }
 }
@@ -78,7 +77,8 @@
 fn a_route_is_known_by_its_own_calls() {
     let mut times = RouteLatencies::default();
     assert_eq!(times.usual_ms("quotes"), None);
-    // A clock that stands still between two looks, and an upstream of no pace, spoil nothing.
+    // A latency of zero, as measured with a coarse clock, and a pace of zero do not corrupt the
+    // average.
     for (spent_ms, pace) in [(0.0, 1.0), (100.0, 1.0), (200.0, 2.0), (50.0, 0.0)] {
         times.note(
             "quotes",
