--- a/crates/endpoints/src/subset.rs
+++ b/crates/endpoints/src/subset.rs
@@ -1,44 +1,45 @@
-//! Which few upstreams one proxy uses, so that no upstream has more connections than it takes.
+//! Selection of the upstreams that one proxy connects to, so that no upstream exceeds its
+//! connection limit.
 //!
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every proxy ranks the endpoints by a hash
-//! of both names, so a change of one endpoint moves only the proxies that used it.
+//! Uses rendezvous hashing (Thaler and Ravishankar, 1998): each proxy ranks the endpoints by a hash
+//! of both names, so a change of one endpoint affects only the proxies that used it.
 
 use crate::{Endpoint, EndpointKey};
 
-/// Share of an upstream's connections that subsets plan with; the rest is headroom for changes
-/// of the fleet that have not spread yet.
+/// Percentage of an upstream's connections that subsets are planned with. The rest is headroom for
+/// fleet changes that have not propagated yet.
 const PLANNED_CONNECTIONS_PERCENT: u32 = 70;
-/// Fewest upstreams in a subset, so that one failure leaves a choice.
+/// Minimum number of upstreams in a subset, so that another one is available after a failure.
 const MIN_SUBSET: usize = 2;
 
-/// What the size of a subset depends on.
+/// Inputs of the subset size.
 #[derive(Clone, Copy, Debug)]
 pub struct SubsetParameters {
-    /// Connections one upstream accepts in all.
+    /// Total number of connections that one upstream accepts.
     pub upstream_connections: u32,
-    /// Number of proxies that use the service.
+    /// Number of proxies that subscribe to the service.
     pub subscribers: u32,
     /// Number of live upstreams.
     pub upstreams: usize,
-    /// Connections a proxy wishes to have to one upstream.
+    /// Number of connections that a proxy wants to one upstream.
     pub desired_connections: u32,
 }
 
-/// Number of upstreams one proxy uses, and connections it may have to each.
+/// Number of upstreams that one proxy uses, and of connections that it may open to each.
 pub fn subset_size(parameters: SubsetParameters) -> (usize, u32) {
     let upstreams = parameters.upstreams.max(1);
     let planned = parameters.upstream_connections * PLANNED_CONNECTIONS_PERCENT / 100;
-    let whole = u64::from(planned) * upstreams as u64;
-    let share = (whole / u64::from(parameters.subscribers.max(1))).max(1) as u32;
-    let wished = parameters.desired_connections.max(1);
-    let size = (share / wished) as usize;
+    let total = u64::from(planned) * upstreams as u64;
+    let share = (total / u64::from(parameters.subscribers.max(1))).max(1) as u32;
+    let desired = parameters.desired_connections.max(1);
+    let size = (share / desired) as usize;
     let size = size.clamp(MIN_SUBSET.min(upstreams), upstreams);
     let connections = (share / size as u32).clamp(1, planned.max(1));
     (size, connections)
 }
 
-/// Ranks endpoints for a proxy and takes the first `size`: own zone first, then own region, then
-/// the others.
+/// Ranks the endpoints for a proxy and returns the first `size`: local zone first, then local
+/// region, then the others.
 pub fn choose_subset<'a>(
     proxy: &str,
     zone: &str,
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -1,29 +1,30 @@
-//! A relay's table of all endpoints, with the changes since any sequence number.
+//! A relay's table of all endpoints, which serves the changes since any sequence number.
 
 use crate::{Endpoint, EndpointKey, EndpointState, EndpointUpdate};
 use speedy::{Readable, Writable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Removed endpoints remembered, so that deltas can name them and old marks stay in force.
+/// Maximum number of tombstones kept, which let incremental updates list removed endpoints, and
+/// preserve the state of a removed incarnation.
 const MAX_TOMBSTONES: usize = 8_192;
-/// Leaving marks remembered for peers.
+/// Maximum number of leaving marks kept for peers.
 const MAX_MARKS: usize = 8_192;
 
-/// News that an incarnation of a back end leaves.
+/// Marks an incarnation of a back end as leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Readable, Writable)]
 pub struct LeavingMark {
-    /// Which back end.
+    /// Key of the back end.
     pub key: EndpointKey,
-    /// Which of its incarnations.
+    /// Incarnation that is leaving.
     pub incarnation: u64,
 }
 
-/// When the loss of many endpoints at once is believed.
+/// Protection against removing many endpoints at once because of an incomplete platform list.
 #[derive(Clone, Copy, Debug)]
 pub struct MassExpiryGuard {
-    /// Share of a service's endpoints that may vanish in one reading, per cent.
+    /// Percentage of a service's live endpoints that may be missing from one reading of the list.
     pub max_vanished_percent: usize,
-    /// Readings in a row that must agree before a larger loss is believed.
+    /// Number of consecutive readings that must show a larger loss before it is accepted.
     pub confirmations: u32,
 }
 
@@ -46,17 +47,17 @@
     sequence: u64,
 }
 
-/// All endpoints one relay knows.
+/// All endpoints that one relay knows.
 #[derive(Clone, Debug)]
 pub struct EndpointTable {
     epoch: u64,
     sequence: u64,
     entries: BTreeMap<EndpointKey, Entry>,
     tombstones: BTreeMap<EndpointKey, Tombstone>,
-    /// The latest change of each entry and tombstone, so that readers see only what is new to
-    /// them instead of the whole table.
+    /// Latest change of each entry and tombstone by sequence number, so that an update reads only
+    /// the new changes instead of the whole table.
     changes: BTreeMap<u64, EndpointKey>,
-    pruned_until: u64,
+    pruned_through: u64,
     marks: BTreeMap<LeavingMark, u64>,
     guard: MassExpiryGuard,
     suspicious_readings: BTreeMap<String, u32>,
@@ -65,7 +66,7 @@
 }
 
 impl EndpointTable {
-    /// An empty table; `epoch` must differ between starts of a relay.
+    /// Creates an empty table; `epoch` must differ between starts of a relay.
     pub fn new(epoch: u64, guard: MassExpiryGuard) -> Self {
         EndpointTable {
             epoch,
@@ -73,7 +74,7 @@
             entries: BTreeMap::new(),
             tombstones: BTreeMap::new(),
             changes: BTreeMap::new(),
-            pruned_until: 0,
+            pruned_through: 0,
             marks: BTreeMap::new(),
             guard,
             suspicious_readings: BTreeMap::new(),
@@ -82,12 +83,12 @@
         }
     }
 
-    /// Identifies this process's sequence numbers.
+    /// Identifies the process that the sequence numbers belong to.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Position of the latest change.
+    /// Sequence number of the latest change.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -113,9 +114,9 @@
             self.merge(endpoint.clone());
         }
         let present: BTreeSet<&EndpointKey> = listed.iter().map(|endpoint| &endpoint.key).collect();
-        let vanished: Vec<EndpointKey> =
+        let missing: Vec<EndpointKey> =
             self.entries.keys().filter(|key| !present.contains(key)).cloned().collect();
-        self.remove_vanished(vanished);
+        self.remove_missing(missing);
     }
 
     fn merge(&mut self, mut endpoint: Endpoint) {
@@ -148,7 +149,7 @@
         self.entries.insert(key, Entry { endpoint, sequence });
     }
 
-    /// Gives a change of `key` its sequence number, in place of its last change.
+    /// Assigns a new sequence number to a change of `key`, which replaces its previous change.
     fn record_change(&mut self, key: &EndpointKey) -> u64 {
         let entry = self.entries.get(key).map(|entry| entry.sequence);
         let tombstone = self.tombstones.get(key).map(|tombstone| tombstone.sequence);
@@ -160,26 +161,26 @@
         self.sequence
     }
 
-    /// Removes endpoints that the list no longer has, unless too many of a service vanish at once.
-    fn remove_vanished(&mut self, vanished: Vec<EndpointKey>) {
+    /// Removes endpoints missing from the list, unless too many of a service are missing at once.
+    fn remove_missing(&mut self, missing: Vec<EndpointKey>) {
         let mut by_service: BTreeMap<String, Vec<EndpointKey>> = BTreeMap::new();
-        for key in vanished {
+        for key in missing {
             by_service.entry(key.service.clone()).or_default().push(key);
         }
         self.suspicious_readings.retain(|service, _| by_service.contains_key(service));
         for (service, keys) in by_service {
-            if self.loss_is_believed(&service, &keys) {
+            if self.is_loss_accepted(&service, &keys) {
                 self.suspicious_readings.remove(&service);
                 keys.into_iter().for_each(|key| self.remove(key));
             }
         }
     }
 
-    fn loss_is_believed(&mut self, service: &str, vanished: &[EndpointKey]) -> bool {
+    fn is_loss_accepted(&mut self, service: &str, missing: &[EndpointKey]) -> bool {
         let live = |key: &&EndpointKey| {
             self.entries.get(*key).is_some_and(|entry| entry.endpoint.state == EndpointState::Live)
         };
-        let lost = vanished.iter().filter(live).count();
+        let lost = missing.iter().filter(live).count();
         let total = self.entries.keys().filter(|key| key.service == service).filter(live).count();
         if lost * 100 <= total * self.guard.max_vanished_percent {
             return true;
@@ -215,10 +216,10 @@
         };
         self.tombstones.remove(&key);
         self.changes.remove(&sequence);
-        self.pruned_until = self.pruned_until.max(sequence);
+        self.pruned_through = self.pruned_through.max(sequence);
     }
 
-    /// Takes in that an incarnation leaves; true if that was news.
+    /// Records that an incarnation is leaving; returns whether that was new.
     pub fn mark_leaving(&mut self, mark: LeavingMark) -> bool {
         if self.marks.contains_key(&mark) {
             return false;
@@ -243,13 +244,13 @@
         true
     }
 
-    /// Marks newer than `sequence`, for a peer.
+    /// Leaving marks newer than `sequence`, for a peer.
     pub fn marks_since(&self, sequence: u64) -> Vec<LeavingMark> {
         let newer = self.marks.iter().filter(|(_, at)| **at > sequence);
         newer.map(|(mark, _)| mark.clone()).collect()
     }
 
-    /// Sets how many proxies of the fleet subscribe to each service.
+    /// Sets the number of proxies that subscribe to each service.
     pub fn set_subscribers(&mut self, counts: BTreeMap<String, u32>) {
         let rounded: BTreeMap<String, u32> = counts
             .into_iter()
@@ -262,27 +263,27 @@
         }
     }
 
-    /// What brings a reader at `(epoch, sequence)` up to date for some services; `None` if
-    /// nothing of theirs changed.
+    /// Update that a reader at `(epoch, sequence)` needs for some services; `None` if nothing of
+    /// theirs changed.
     pub fn update_since(
         &self,
         epoch: u64,
         sequence: u64,
         services: &BTreeSet<String>,
     ) -> Option<EndpointUpdate> {
-        // A table that was never filled has nothing to say, not even that it is empty.
+        // A table that was never filled must not report an empty list of endpoints.
         if self.sequence == 0 {
             return None;
         }
-        let full = epoch != self.epoch || sequence < self.pruned_until || sequence == 0;
+        let full = epoch != self.epoch || sequence < self.pruned_through || sequence == 0;
         let since = if full { 0 } else { sequence };
         let wanted = |key: &EndpointKey| services.contains(&key.service);
         let newer =
             || self.changes.range(since + 1..).map(|(_, key)| key).filter(|key| wanted(key));
         let entries = newer().filter_map(|key| self.entries.get(key));
         let changed: Vec<Endpoint> = entries.map(|entry| entry.endpoint.clone()).collect();
-        let gone = newer().filter(|key| !full && self.tombstones.contains_key(key));
-        let removed: Vec<EndpointKey> = gone.cloned().collect();
+        let tombstoned = newer().filter(|key| !full && self.tombstones.contains_key(key));
+        let removed: Vec<EndpointKey> = tombstoned.cloned().collect();
         let subscribers = match self.subscribers_sequence > since {
             true => self.subscribers_of(services),
             false => Vec::new(),
--- a/crates/endpoints/src/view.rs
+++ b/crates/endpoints/src/view.rs
@@ -1,12 +1,12 @@
-//! A proxy's view of the endpoints its routes use.
+//! A proxy's view of the endpoints that its routes use.
 
 use crate::{Endpoint, EndpointKey, EndpointState, EndpointUpdate, LeavingMark};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Own leaving marks kept; older ones were long taken over by the relays.
+/// Maximum number of own leaving marks kept. Older ones have long reached the relays.
 const MAX_OWN_MARKS: usize = 1_024;
 
-/// What a proxy knows, from any relay and from its own calls.
+/// Endpoints known to a proxy, from any relay and from its own calls.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointView {
     epoch: u64,
@@ -18,22 +18,23 @@
 }
 
 impl EndpointView {
-    /// The relay and its sequence up to which this view is complete.
+    /// Epoch of the relay, and the sequence number up to which this view reflects its table.
     pub fn position(&self) -> (u64, u64) {
         (self.epoch, self.sequence)
     }
 
-    /// Rises with every change of the content.
+    /// Increases with every change of the content.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Makes the next update a full one, after the set of services changed.
+    /// Resets the position so that the next update is a full one, after the set of services
+    /// changed.
     pub fn forget_position(&mut self) {
         self.sequence = 0;
     }
 
-    /// Takes an update in.
+    /// Applies an update; an incremental one from another epoch is ignored.
     pub fn apply(&mut self, update: EndpointUpdate) {
         if update.full {
             self.apply_full(update);
@@ -46,7 +47,8 @@
         let listed: BTreeSet<EndpointKey> =
             update.changed.iter().map(|endpoint| endpoint.key.clone()).collect();
         let services: BTreeSet<String> = listed.iter().map(|key| key.service.clone()).collect();
-        // A service that a (restarted) relay knows nothing of yet keeps its last known set.
+        // A service without endpoints in the update keeps its last known ones: a restarted relay
+        // may not have learned of them yet.
         self.endpoints.retain(|key, _| listed.contains(key) || !services.contains(&key.service));
         self.apply_changes(update);
     }
@@ -80,8 +82,8 @@
         self.endpoints.insert(endpoint.key.clone(), endpoint);
     }
 
-    /// Takes in what an own call or the own node says: this back end leaves. Returns the mark to
-    /// report, if it is news.
+    /// Records that a back end is leaving, as observed by an own call or reported by the own node.
+    /// Returns the mark to report to relays, if it is new.
     pub fn observe_leaving(&mut self, key: &EndpointKey) -> Option<LeavingMark> {
         let endpoint = self.endpoints.get_mut(key)?;
         let mark = LeavingMark { key: key.clone(), incarnation: endpoint.incarnation };
@@ -96,7 +98,8 @@
         Some(mark)
     }
 
-    /// Marks this proxy observed itself; told again to every relay it connects to.
+    /// Leaving marks that this proxy observed itself; it reports them to every relay that it
+    /// connects to.
     pub fn own_marks(&self) -> Vec<LeavingMark> {
         self.own_marks.iter().cloned().collect()
     }
@@ -108,12 +111,12 @@
         })
     }
 
-    /// All endpoints known, leaving ones included.
+    /// All known endpoints, including leaving ones.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Number of proxies that use a service, at least 1.
+    /// Number of proxies that subscribe to a service, at least 1.
     pub fn subscribers(&self, service: &str) -> u32 {
         self.subscribers.get(service).copied().unwrap_or(1).max(1)
     }
