--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -26,7 +26,7 @@
 /// Maximum time for which a refusal stays in effect, milliseconds, since the queue keeps moving.
 pub(crate) const MAX_REFUSAL_MS: u64 = 150;
 /// Time in which a reported failure rate loses half of its weight, milliseconds.
-const FAILING_HALF_LIFE_MS: f64 = 2_500.0;
+const FAILURE_RATE_HALF_LIFE_MS: f64 = 2_500.0;
 /// Time in which the delay of unanswered calls loses half of its weight, milliseconds.
 const UNANSWERED_HALF_LIFE_MS: f64 = 1_500.0;
 /// Weight of a new sample in the learned pace.
@@ -39,7 +39,8 @@
 const LOAD_ERROR_SLOTS: f64 = 2.0;
 /// Pace assumed for an upstream without samples, cold or not: that of a fast one. With an average
 /// pace it would get no calls while fast upstreams are idle, so its pace would never be learned.
-/// Each sender has at most one call in flight to it until samples exist.
+/// Applies only while this node has no call in flight to it, so that each sender has one call there
+/// until samples exist.
 const UNKNOWN_PACE: f64 = 0.5;
 /// How long a learned pace is used without new samples or reports, milliseconds: a slow upstream
 /// costs each sender without reports one slow call per period.
@@ -441,7 +442,7 @@
         };
         let age = now.saturating_sub(last_reply.at) as f64;
         let reported = f64::from(last_reply.reply.failing_percent) / 100.0;
-        reported * 0.5_f64.powf(age / FAILING_HALF_LIFE_MS)
+        reported * 0.5_f64.powf(age / FAILURE_RATE_HALF_LIFE_MS)
     }
 
     /// Records the state that came with a reply.
--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -169,7 +169,7 @@
     assert_eq!(
         choose(&view, &[address(2)], 260),
         Some(1),
-        "a refusal expires soon, whatever it asks for"
+        "a refusal expires soon, whatever its retry time"
     );
 }
 
