--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -177,13 +177,13 @@
 fn one_that_fails_more_than_others_is_avoided_until_its_word_is_old() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let failing = |percent| HopReply { failing_percent: percent, ..reply(0, 0) };
-    let mut tell = |host, percent, now| {
+    let mut report = |host, percent, now| {
         view.get_mut(&address(host)).expect("known upstream").note_reply(failing(percent), now);
         choose(&view, &[], now)
     };
-    assert_eq!(tell(1, 40, 0), Some(2), "failures cost more than leaving the zone");
-    assert_eq!(tell(2, 40, 0), Some(1), "both fail at the same rate");
-    assert_eq!(tell(2, 0, 0), Some(2));
+    assert_eq!(report(1, 40, 0), Some(2), "failures cost more than leaving the zone");
+    assert_eq!(report(2, 40, 0), Some(1), "both fail at the same rate");
+    assert_eq!(report(2, 0, 0), Some(2));
     assert_eq!(choose(&view, &[], 20_000), Some(1), "the reported failure rate has decayed");
 }
 
@@ -209,19 +209,19 @@
 #[test]
 fn one_behind_a_busy_link_is_avoided_until_that_is_old() {
     let busy = |percent| HopReply { link_percent: percent, ..reply(0, 0) };
-    let mut beside = view(&[(1, "a"), (200, "a")]);
-    beside.get_mut(&address(200)).expect("known upstream").note_reply(busy(100), 0);
-    assert_eq!(choose(&beside, &[], 0), Some(200), "the local upstream needs no link");
+    let mut local_view = view(&[(1, "a"), (200, "a")]);
+    local_view.get_mut(&address(200)).expect("known upstream").note_reply(busy(100), 0);
+    assert_eq!(choose(&local_view, &[], 0), Some(200), "the local upstream needs no link");
 
     let mut view = view(&[(1, "a"), (2, "b")]);
-    let mut tell = |host, percent, now| {
+    let mut report = |host, percent, now| {
         view.get_mut(&address(host)).expect("known upstream").note_reply(busy(percent), now);
         choose(&view, &[], now)
     };
-    assert_eq!(tell(1, 60, 0), Some(1));
-    assert_eq!(tell(1, 90, 0), Some(2));
-    assert_eq!(tell(2, 95, 0), Some(1), "both links are busy");
-    assert_eq!(tell(2, 0, 0), Some(2));
+    assert_eq!(report(1, 60, 0), Some(1));
+    assert_eq!(report(1, 90, 0), Some(2));
+    assert_eq!(report(2, 95, 0), Some(1), "both links are busy");
+    assert_eq!(report(2, 0, 0), Some(2));
     assert_eq!(choose(&view, &[], 1_000), Some(1));
 }
 
