--- a/crates/admission/src/cold_start.rs
+++ b/crates/admission/src/cold_start.rs
@@ -1,100 +1,103 @@
-//! How many calls a cold upstream is given.
+//! Rate limit for calls to a cold upstream.
 //!
-//! An upstream that has just started bears a bounded rate of calls and falls over well above it. The
-//! load that this answers is a herd: an upstream that comes back idle looks best to all senders at
-//! once, and after a loss of all power every upstream of a service is cold while all callers return.
-//! Calls are let through at an even rate (the generic cell rate algorithm), a few at once, so that
-//! those admitted wait least; the others are refused at once with the time at which there is room,
-//! instead of ending in an upstream that falls over under all of them.
+//! An upstream that has just started sustains a limited rate of calls and collapses well above it.
+//! The limit guards against a thundering herd: an upstream that comes back idle looks best to all
+//! senders at once, and after a total power loss every upstream of a service is cold while all callers
+//! return. Calls are admitted at an even rate with a small burst (the generic cell rate algorithm), so
+//! that admitted calls wait as little as possible. The others are refused at once with the time at
+//! which there is room, instead of overloading the upstream.
 
 use crate::Millis;
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-/// Time between two looks while it is not known what a cold upstream bears, milliseconds.
-const UNKNOWN_LOOK_MS: Millis = 20;
+/// Interval between checks while the rate limit of the service is not known yet, milliseconds.
+const UNKNOWN_RATE_POLL_MS: Millis = 20;
 
-/// What a cold upstream is given, at most.
+/// Rate limit of a cold upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRate {
-    /// Calls a second, evenly.
+    /// Sustained rate, calls per second.
     pub per_s: f64,
-    /// Calls beyond that at any moment, after a pause.
+    /// Number of calls that may exceed the sustained rate after an idle period.
     pub burst: f64,
 }
 
-/// What is known of the rate that cold upstreams of a service bear.
+/// Knowledge of the rate limit for cold upstreams of a service.
 #[derive(Clone, Copy, Debug, Default)]
-enum RateBound {
-    /// Nothing yet: there may be one.
+enum RateLimit {
+    /// Not known yet; there may be a limit.
     #[default]
     Unknown,
-    /// They are given no more than this.
-    Bounded(ColdRate),
-    /// They are given whatever comes.
-    Unbounded,
+    /// Calls are limited to this rate.
+    Limited(ColdRate),
+    /// Calls are not limited.
+    Unlimited,
 }
 
-/// The calls given to an upstream, against what it bears while it is cold.
+/// Rate limiter for an upstream that applies while the upstream is cold.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStart {
-    rate: RateBound,
+    rate: RateLimit,
     until: Millis,
-    /// When the next call would be given if all of them came evenly, milliseconds.
-    due: f64,
+    /// Theoretical arrival time of the next call, milliseconds: when it would start if calls were evenly
+    /// spaced.
+    next_arrival_ms: f64,
 }
 
 impl ColdStart {
-    /// Takes in what cold upstreams of the service bear; `None` if that is not bounded. The burst counts
-    /// as given when a rate is first known, by the process before this one.
+    /// Sets the rate limit for cold upstreams of the service; `None` for no limit. When a rate is first
+    /// known, the burst counts as used up, because the previous process of this sidecar may have
+    /// used it.
     pub fn set_rate(&mut self, rate: Option<ColdRate>, now: Millis) {
         let known = rate.filter(|rate| rate.per_s > 0.0);
-        if let (RateBound::Unknown, Some(rate)) = (self.rate, known) {
-            self.due = now as f64 + burst_ms(rate);
+        if let (RateLimit::Unknown, Some(rate)) = (self.rate, known) {
+            self.next_arrival_ms = now as f64 + burst_ms(rate);
         }
-        self.rate = known.map_or(RateBound::Unbounded, RateBound::Bounded);
+        self.rate = known.map_or(RateLimit::Unlimited, RateLimit::Limited);
     }
 
-    /// Takes in until when the upstream is cold.
+    /// Sets the end of the cold phase.
     pub fn set_until(&mut self, until: Millis) {
         self.until = until;
     }
 
-    /// Takes in that another incarnation is there, which was given nothing yet. What was given to the
-    /// one before counts as its burst: word of the two may cross.
+    /// Records that another incarnation has taken over, which has not received any calls yet. Calls to
+    /// the previous one are still charged, up to one burst, since reports of the two incarnations may
+    /// arrive out of order.
     pub fn restarted(&mut self, now: Millis) {
-        if let RateBound::Bounded(rate) = self.rate {
-            self.due = self.due.min(now as f64 + burst_ms(rate));
+        if let RateLimit::Limited(rate) = self.rate {
+            self.next_arrival_ms = self.next_arrival_ms.min(now as f64 + burst_ms(rate));
         }
     }
 
-    /// When the next call may be given; `now` if it may be at once.
+    /// Returns when the next call may start; `now` if it may start at once.
     pub fn next_at(&self, now: Millis) -> Millis {
         self.room_at(0, now)
     }
 
-    /// When a call behind so many others may be given.
+    /// Returns when a call with `ahead` calls in front of it may start.
     pub fn room_at(&self, ahead: usize, now: Millis) -> Millis {
         if now >= self.until {
             return now;
         }
         let rate = match self.rate {
-            RateBound::Unknown => return self.until.min(now + UNKNOWN_LOOK_MS),
-            RateBound::Unbounded => return now,
-            RateBound::Bounded(rate) => rate,
+            RateLimit::Unknown => return self.until.min(now + UNKNOWN_RATE_POLL_MS),
+            RateLimit::Unlimited => return now,
+            RateLimit::Limited(rate) => rate,
         };
-        let each_ms = MILLIS_PER_SECOND / rate.per_s;
-        let due = self.due.max(now as f64) + each_ms * ahead as f64;
-        let at = (due - rate.burst * each_ms).ceil().max(now as f64) as Millis;
+        let interval_ms = MILLIS_PER_SECOND / rate.per_s;
+        let next_arrival_ms = self.next_arrival_ms.max(now as f64) + interval_ms * ahead as f64;
+        let at = (next_arrival_ms - rate.burst * interval_ms).ceil().max(now as f64) as Millis;
         at.min(self.until)
     }
 
-    /// Notes that a call is given now. Those of its last second count also if they were given while
-    /// it was warm: it may have become cold before that was told.
+    /// Records that a call starts now. Calls of the last second also count if they started while the
+    /// upstream was considered warm: it may have become cold before it reported that.
     pub fn note_start(&mut self, now: Millis) {
-        if let RateBound::Bounded(rate) = self.rate {
+        if let RateLimit::Limited(rate) = self.rate {
             let latest = now as f64 + MILLIS_PER_SECOND;
-            let each_ms = MILLIS_PER_SECOND / rate.per_s;
-            self.due = (self.due.max(now as f64) + each_ms).min(latest);
+            let interval_ms = MILLIS_PER_SECOND / rate.per_s;
+            self.next_arrival_ms = (self.next_arrival_ms.max(now as f64) + interval_ms).min(latest);
         }
     }
 }
--- a/crates/admission/src/egress.rs
+++ b/crates/admission/src/egress.rs
@@ -1,31 +1,31 @@
-//! Whether the answer of a run can leave in time: the outgoing link as a resource beside slots.
+//! Admission by outgoing bandwidth: checks whether the response of a call can be sent in time.
 //!
-//! A run whose answer is large takes a part of the link as surely as it takes a slot. Begun without
-//! a look at the link, it has run in vain if its answer stands behind others until nobody waits for
-//! it. So a run books the bytes that its like answer with, and one whose answer would have to wait
-//! longer than its caller's patience is refused at once.
+//! A call with a large response uses a share of the link as well as a slot. If the link is ignored,
+//! the call is processed in vain when its response queues behind others until its caller has given
+//! up. So each admitted call reserves the response size that is typical of its class, and a call whose
+//! response would wait longer than its caller's patience is refused at once.
 //!
-//! The load that it answers: downloads of tens of kilobytes that ask for more than the link
-//! carries, while slots are idle.
+//! This covers downloads of tens of kilobytes that exceed the capacity of the link while slots are
+//! idle.
 
 use crate::pacer::most_small_bytes;
 use crate::queue::JobId;
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// Weight of a new answer in what is usual for its kind: that of the last twenty.
-const WEIGHT: f64 = 0.05;
-/// Kinds of calls remembered; further ones are taken to be small. Routes differ by rank and target
-/// less than this in any fleet seen.
-const MOST_KINDS: usize = 256;
-const SHORTEST_RETRY_MS: u64 = 50;
-/// Longest time to return that is told, milliseconds: a link that is told far too narrow, or one
-/// endless answer, tells no more about later than this.
-const LONGEST_RETRY_MS: f64 = 10_000.0;
-/// Time in which the memory of refusals loses half of its weight, milliseconds: as for slots.
+/// Weight of a new response in the averages of its class: they cover about the last twenty responses.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Maximum number of classes with averages; calls of further classes count as small. No known fleet
+/// has that many combinations of rank and target latency.
+const MAX_CLASSES: usize = 256;
+const MIN_RETRY_MS: u64 = 50;
+/// Longest retry delay that is returned, milliseconds. With a link rate configured far too low, or
+/// after one extremely long response, a longer estimate would be meaningless.
+const MAX_RETRY_MS: f64 = 10_000.0;
+/// Half-life of the refused bytes, milliseconds; the same as for slots.
 const REFUSALS_HALF_LIFE_MS: f64 = 700.0;
 
-/// What tells kinds of calls apart, and their order; the least goes first.
+/// Traffic class of a call. Classes are ordered by priority; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EgressClass {
     /// Rank of the route.
@@ -34,135 +34,138 @@
     pub target_ms: u64,
 }
 
-/// What is usual for a kind of calls.
+/// Moving averages of a traffic class.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
-    answer_bytes: f64,
-    spent_ms: f64,
+struct ClassAverages {
+    response_bytes: f64,
+    run_ms: f64,
 }
 
-/// Room of the outgoing link now.
+/// Current state of the outgoing link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// What it carries of large answers, bytes a millisecond; `None` if that is not known.
+    /// Rate available to large responses, bytes per millisecond; `None` if it is not known.
     pub bytes_per_ms: Option<f64>,
-    /// Bytes that wait for it.
+    /// Bytes that wait for the link.
     pub waiting_bytes: usize,
 }
 
-/// How long the caller of a call waits.
+/// How long the caller of a call is willing to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EgressTimeLimits {
-    /// Longest useful wait before the answer leaves, milliseconds.
+    /// Longest useful wait before the response is sent, milliseconds.
     pub patience_ms: u64,
-    /// Until nobody waits for the answer, milliseconds.
+    /// Time left until nobody waits for the response, milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Answers of runs under way, against the link.
+/// Link capacity reserved for the responses of running calls.
 #[derive(Clone, Debug, Default)]
 pub struct EgressReservations {
-    room: LinkState,
-    usual: BTreeMap<EgressClass, Usual>,
-    booked: BTreeMap<JobId, (EgressClass, f64)>,
-    /// Bytes refused of late that will be asked for again.
+    link: LinkState,
+    averages: BTreeMap<EgressClass, ClassAverages>,
+    reserved: BTreeMap<JobId, (EgressClass, f64)>,
+    /// Recently refused bytes that are expected to be requested again.
     refused_bytes: f64,
     refused_at: Millis,
 }
 
 impl EgressReservations {
-    /// Takes in the room of the link.
-    pub fn set_link_state(&mut self, room: LinkState) {
-        self.room = room;
+    /// Updates the state of the link.
+    pub fn set_link_state(&mut self, link: LinkState) {
+        self.link = link;
     }
 
-    /// What the link carries of large answers, bytes a millisecond; 0 if that is not known.
+    /// Returns the rate available to large responses, bytes per millisecond; 0 if it is not known.
     pub fn bytes_per_ms(&self) -> f64 {
-        self.room.bytes_per_ms.unwrap_or(0.0)
+        self.link.bytes_per_ms.unwrap_or(0.0)
     }
 
-    /// Whether the answers of a kind are large enough to be booked.
-    fn large(&self, kind: EgressClass) -> Option<(Usual, f64)> {
-        let rate = self.room.bytes_per_ms.filter(|rate| *rate > 0.0)?;
-        let usual = self.usual.get(&kind)?;
-        (usual.answer_bytes > most_small_bytes(rate) as f64).then_some((*usual, rate))
+    /// Returns the averages of a class and the link rate if responses of this class are large enough to
+    /// be reserved.
+    fn reservable(&self, class: EgressClass) -> Option<(ClassAverages, f64)> {
+        let rate = self.link.bytes_per_ms.filter(|rate| *rate > 0.0)?;
+        let averages = self.averages.get(&class)?;
+        (averages.response_bytes > most_small_bytes(rate) as f64).then_some((*averages, rate))
     }
 
-    /// Whether the answer of a call would leave in time; if not, when there may be room for it,
-    /// milliseconds.
+    /// Checks whether the response of a call would be sent in time. The error is the time after which
+    /// there may be room, milliseconds.
     pub fn check_room(
         &mut self,
-        kind: EgressClass,
-        time: EgressTimeLimits,
+        class: EgressClass,
+        limits: EgressTimeLimits,
         now: Millis,
     ) -> Result<(), u64> {
-        let Some((usual, rate)) = self.large(kind) else {
+        let Some((averages, rate)) = self.reservable(class) else {
             return Ok(());
         };
-        let ahead = self.bytes_ahead(kind);
-        // What is ahead leaves while it runs.
-        let wait_ms = (ahead / rate - usual.spent_ms).max(0.0);
-        let whole_ms = usual.spent_ms + wait_ms + usual.answer_bytes / rate;
-        let beyond_ms = (wait_ms - time.patience_ms as f64).max(whole_ms - time.deadline_ms as f64);
-        // With nothing ahead it is tried, however long its like were: sizes are learned by answers.
-        if beyond_ms <= 0.0 || wait_ms <= 0.0 {
+        let ahead = self.bytes_ahead(class);
+        // Responses ahead are sent while the call runs.
+        let wait_ms = (ahead / rate - averages.run_ms).max(0.0);
+        let total_ms = averages.run_ms + wait_ms + averages.response_bytes / rate;
+        let excess_ms =
+            (wait_ms - limits.patience_ms as f64).max(total_ms - limits.deadline_ms as f64);
+        // With nothing ahead the call is admitted whatever its average size: the average can only be
+        // corrected by new responses.
+        if excess_ms <= 0.0 || wait_ms <= 0.0 {
             return Ok(());
         }
-        let returning_ms = self.refused_bytes * self.refusals_kept(now) / rate;
-        self.refused_bytes = self.refused_bytes * self.refusals_kept(now) + usual.answer_bytes;
+        let retrying_ms = self.refused_bytes * self.refusal_decay(now) / rate;
+        self.refused_bytes = self.refused_bytes * self.refusal_decay(now) + averages.response_bytes;
         self.refused_at = now;
-        let retry_ms = (beyond_ms + returning_ms).min(LONGEST_RETRY_MS) as u64;
-        Err(retry_ms.max(SHORTEST_RETRY_MS))
+        let retry_ms = (excess_ms + retrying_ms).min(MAX_RETRY_MS) as u64;
+        Err(retry_ms.max(MIN_RETRY_MS))
     }
 
-    fn refusals_kept(&self, now: Millis) -> f64 {
+    fn refusal_decay(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.refused_at) as f64;
         0.5_f64.powf(age / REFUSALS_HALF_LIFE_MS)
     }
 
-    /// Bytes that would leave before an answer of this kind.
-    fn bytes_ahead(&self, kind: EgressClass) -> f64 {
-        let ahead = self.booked.values().filter(|(other, _)| *other <= kind);
-        let booked: f64 = ahead.map(|(_, bytes)| bytes).sum();
-        booked + self.room.waiting_bytes as f64
+    /// Returns the bytes that would be sent before a response of this class.
+    fn bytes_ahead(&self, class: EgressClass) -> f64 {
+        let ahead = self.reserved.values().filter(|(other, _)| *other <= class);
+        let reserved: f64 = ahead.map(|(_, bytes)| bytes).sum();
+        reserved + self.link.waiting_bytes as f64
     }
 
-    /// How long a large answer that is less urgent than all others would wait for the link,
-    /// milliseconds; 0 if the link is not known.
+    /// Returns how long a large response of the lowest priority would wait for the link, milliseconds;
+    /// 0 if the link rate is not known.
     pub fn wait_ms(&self) -> u64 {
-        let Some(rate) = self.room.bytes_per_ms.filter(|rate| *rate > 0.0) else {
+        let Some(rate) = self.link.bytes_per_ms.filter(|rate| *rate > 0.0) else {
             return 0;
         };
-        let booked: f64 = self.booked.values().map(|(_, bytes)| bytes).sum();
-        ((booked + self.room.waiting_bytes as f64) / rate) as u64
+        let reserved: f64 = self.reserved.values().map(|(_, bytes)| bytes).sum();
+        ((reserved + self.link.waiting_bytes as f64) / rate) as u64
     }
 
-    /// Books the answer of a call that was taken in.
-    pub fn reserve(&mut self, job: JobId, kind: EgressClass) {
-        if let Some((usual, _)) = self.large(kind) {
-            self.booked.insert(job, (kind, usual.answer_bytes));
+    /// Reserves the link for the response of an admitted call.
+    pub fn reserve(&mut self, job: JobId, class: EgressClass) {
+        if let Some((averages, _)) = self.reservable(class) {
+            self.reserved.insert(job, (class, averages.response_bytes));
         }
     }
 
-    /// Gives back what a call booked: it has ended.
+    /// Releases the reservation of a call that has ended.
     pub fn release(&mut self, job: JobId) {
-        self.booked.remove(&job);
+        self.reserved.remove(&job);
     }
 
-    /// Takes in an answer that leaves over the link.
+    /// Records that a response was queued for the link.
     pub fn note_sent(&mut self, bytes: usize) {
-        // Until the next word of the link.
-        self.room.waiting_bytes = self.room.waiting_bytes.saturating_add(bytes);
+        // Counted here until the next update of the link state.
+        self.link.waiting_bytes = self.link.waiting_bytes.saturating_add(bytes);
     }
 
-    /// Takes in how long a call ran, milliseconds, and what it answered with.
-    pub fn note_answer(&mut self, kind: EgressClass, bytes: usize, spent_ms: u64) {
-        let (bytes, spent_ms) = (bytes as f64, spent_ms as f64);
-        if let Some(usual) = self.usual.get_mut(&kind) {
-            usual.answer_bytes += (bytes - usual.answer_bytes) * WEIGHT;
-            usual.spent_ms += (spent_ms - usual.spent_ms) * WEIGHT;
-        } else if self.usual.len() < MOST_KINDS {
-            self.usual.insert(kind, Usual { answer_bytes: bytes, spent_ms });
+    /// Records the size of a response and how long its call ran, milliseconds.
+    pub fn note_answer(&mut self, class: EgressClass, bytes: usize, run_ms: u64) {
+        let (bytes, run_ms) = (bytes as f64, run_ms as f64);
+        if let Some(averages) = self.averages.get_mut(&class) {
+            averages.response_bytes += (bytes - averages.response_bytes) * SAMPLE_WEIGHT;
+            averages.run_ms += (run_ms - averages.run_ms) * SAMPLE_WEIGHT;
+        } else if self.averages.len() < MAX_CLASSES {
+            self.averages.insert(class, ClassAverages { response_bytes: bytes, run_ms });
         }
     }
 }
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -1,70 +1,80 @@
-//! Which incarnation is beside this sidecar, and whether it may still be given calls.
+//! Tracks the upstream instance next to this sidecar and whether it still accepts calls.
 //!
-//! States only go forward within one incarnation, and an incarnation that was replaced never
-//! comes back, however late its messages arrive. Messages of one that was never heard of may come
-//! late, too: so the upstream's own word, that it is another one than a call was meant for, brings
-//! back the one that was replaced last.
+//! Within one incarnation the state only moves forward, and a replaced incarnation never becomes
+//! current again, however late its messages arrive. A delayed message may also come from an
+//! incarnation that was never seen before and replace the live one by mistake. When the upstream
+//! then rejects a call because it was addressed to another instance, the most recently replaced
+//! incarnation is reinstated.
 //!
-//! An incarnation is named by its id and the time of its start: an upstream may start again under its
-//! id, and then knows nothing of before, its sequence begins anew, and no end of before binds it.
+//! An incarnation is identified by its id and its start time, because an upstream may restart under
+//! the same id. After such a restart its sequence numbers start over, and a shutdown reported by the
+//! previous incarnation does not apply to it.
 
 use crate::Millis;
 use mesh::{Incarnation, InstanceRecord, InstanceState, MOST_VERSION_BYTES};
 use std::collections::VecDeque;
 
-/// Part of the drain time during which the gate stays open for calls already on their way.
-const OPEN_PART: f64 = 0.5;
-/// An upstream that is cold for this much longer than was known is news to its peers, milliseconds:
-/// beats repeat what is left to within their own way.
-const COLD_NEWS_MS: u64 = 200;
-/// Replaced incarnations remembered.
-const RETIRED_KEPT: usize = 64;
+/// Fraction of the drain time during which the gate still admits calls that are already in transit.
+const OPEN_FRACTION: f64 = 0.5;
+/// The end of the cold phase must move back by more than this before peers are told, milliseconds.
+/// Each heartbeat repeats the remaining time, and its transit time makes the value vary.
+const COLD_CHANGE_MS: u64 = 200;
+/// Maximum number of replaced incarnations that are remembered.
+const MAX_RETIRED: usize = 64;
 
-/// Whether calls may pass.
+/// Whether calls are admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateState {
-    /// There is no upstream yet.
+    /// No upstream is registered.
     Absent,
-    /// Calls pass.
+    /// Calls are admitted.
     Open,
-    /// Calls that come now still pass; peers should send no more.
+    /// Calls in transit are still admitted, but peers should stop sending.
     Closing,
-    /// Nothing passes.
+    /// No calls are admitted.
     Closed,
 }
 
-/// The upstream beside a sidecar.
+/// Admission state of the upstream next to a sidecar.
 #[derive(Clone, Debug)]
 pub struct DrainGate {
     drain_ms: u64,
     current: Option<Current>,
-    /// The one replaced last, until the upstream has answered a call as the current one.
-    former: Option<Current>,
-    /// The one that ended without a word, until another registers.
-    ended: Option<Incarnation>,
+    /// The most recently replaced incarnation, until the upstream has answered a call that was
+    /// addressed to the current one.
+    previous: Option<Current>,
+    /// The incarnation that terminated without deregistering, until another one registers.
+    crashed: Option<Incarnation>,
     retired: VecDeque<Incarnation>,
 }
 
 #[derive(Clone, Debug)]
 struct Current {
     incarnation: Incarnation,
-    /// Told once; an incarnation does not change its software.
+    /// Taken from the first report; the software version is constant within an incarnation.
     version: String,
     state: InstanceState,
     slots: u32,
     cold_until: Millis,
     newest_sequence: u64,
-    /// Until when calls still pass, once it was told that it ends.
+    /// Time until which calls are still admitted; set once the incarnation starts to shut down.
     open_until: Option<Millis>,
 }
 
 impl DrainGate {
-    /// No upstream yet; one that says it leaves is given nothing after `drain_ms`.
+    /// Creates a gate without an upstream. An upstream that announces its shutdown has to finish its
+    /// calls within `drain_ms`; the gate closes after a fraction of that time.
     pub fn new(drain_ms: u64) -> Self {
-        DrainGate { drain_ms, current: None, former: None, ended: None, retired: VecDeque::new() }
+        DrainGate {
+            drain_ms,
+            current: None,
+            previous: None,
+            crashed: None,
+            retired: VecDeque::new(),
+        }
     }
 
-    /// Takes in what coordinators know from before this sidecar's start.
+    /// Restores a record that coordinators kept from before this sidecar started.
     pub fn restore(&mut self, record: &InstanceRecord, now: Millis) {
         let incarnation = record.incarnation();
         if self.current.is_none() && !self.is_retired(&incarnation) {
@@ -75,16 +85,17 @@
         }
     }
 
-    /// Takes in what the upstream tells of itself; true if that is news to others. `sequence`
-    /// orders its messages.
+    /// Applies a report by the upstream about itself. `sequence` orders the reports of an incarnation.
+    /// Returns whether other nodes need to be told.
     pub fn on_report(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) -> bool {
         let incarnation = record.incarnation();
         if self.is_retired(&incarnation) {
             return false;
         }
-        let known = self.current.as_ref().is_some_and(|held| held.incarnation.may_be(&incarnation));
+        let known =
+            self.current.as_ref().is_some_and(|current| current.incarnation.may_be(&incarnation));
         if !known {
-            if self.is_late(record) {
+            if self.is_stale(record) {
                 return false;
             }
             self.replace(record, sequence, now);
@@ -101,13 +112,13 @@
             current.newest_sequence = sequence;
             current.slots = record.slots;
             let cold_until = now + u64::from(record.cold_remaining_ms);
-            cold_changed = current.cold_until.max(now) + COLD_NEWS_MS < cold_until;
+            cold_changed = current.cold_until.max(now) + COLD_CHANGE_MS < cold_until;
             current.cold_until = cold_until;
         }
         self.advance(&incarnation, record.state, now) || slots_changed || cold_changed
     }
 
-    /// Takes in that an incarnation ends; true if that is news to others.
+    /// Records that an incarnation deregistered; returns whether other nodes need to be told.
     pub fn on_leave(&mut self, incarnation: &Incarnation, now: Millis) -> bool {
         self.advance(incarnation, InstanceState::Left, now)
     }
@@ -116,85 +127,87 @@
         self.retired.iter().any(|retired| retired.may_be(incarnation))
     }
 
-    /// Whether the first that is heard of an incarnation is its end, while another one serves: it
-    /// began and ended before that one, and its messages were held up. So is any word of an earlier
-    /// start under the id of the one that is there.
-    fn is_late(&self, record: &InstanceRecord) -> bool {
+    /// Whether a report is stale: it comes from an earlier start under the current id, or it is the
+    /// first report of an incarnation, announces its shutdown, and another incarnation is serving.
+    /// In the second case the reporting incarnation ran before the serving one and its messages were
+    /// delayed.
+    fn is_stale(&self, record: &InstanceRecord) -> bool {
         let incarnation = record.incarnation();
         if self.current.as_ref().is_some_and(|current| current.incarnation.succeeds(&incarnation)) {
             return true;
         }
-        let serves = self.current.as_ref().is_some_and(|current| current.open_until.is_none());
-        serves && record.state != InstanceState::Ready
+        let serving = self.current.as_ref().is_some_and(|current| current.open_until.is_none());
+        serving && record.state != InstanceState::Ready
     }
 
-    /// Takes the upstream for cold until it tells, or for so long.
+    /// Treats the upstream as cold at least until the given time; its next report replaces this.
     pub fn presume_cold(&mut self, until: Millis) {
         if let Some(current) = &mut self.current {
             current.cold_until = current.cold_until.max(until);
         }
     }
 
-    /// Takes in that the upstream answered a call that was meant for this incarnation.
+    /// Records that the upstream answered a call that was addressed to this instance id.
     pub fn on_confirmed(&mut self, id: &str) {
-        if self.former.is_some() && self.id() == Some(id) {
-            self.former = None;
+        if self.previous.is_some() && self.id() == Some(id) {
+            self.previous = None;
         }
     }
 
-    /// Takes in that the upstream is not this incarnation, as it says itself; true if that is news.
-    /// The one replaced last is the current one again. Without any, the next that is heard of is.
+    /// Records that the upstream rejected a call because it is not the instance with this id. The most
+    /// recently replaced incarnation becomes current again; without one, the next incarnation that
+    /// reports does. Returns whether the state changed.
     pub fn on_wrong_instance(&mut self, id: &str) -> bool {
-        let Some(denied) = self.current.take_if(|current| current.incarnation.id == id) else {
+        let Some(rejected) = self.current.take_if(|current| current.incarnation.id == id) else {
             return false;
         };
-        if let Some(former) = self.former.take() {
-            self.retired.retain(|retired| *retired != former.incarnation);
-            self.current = Some(former);
-            self.retire(denied);
+        if let Some(previous) = self.previous.take() {
+            self.retired.retain(|retired| *retired != previous.incarnation);
+            self.current = Some(previous);
+            self.retire(rejected);
         }
         true
     }
 
-    /// Takes in that a serving incarnation ended without a word; true if that is news. Should it
-    /// live after all, its next heartbeat brings it back.
+    /// Records that a serving incarnation terminated without deregistering; returns whether the state
+    /// changed. If it is still alive, its next heartbeat makes it current again.
     pub fn on_crash(&mut self, id: &str) -> bool {
-        let serves =
+        let serving =
             |current: &mut Current| current.incarnation.id == id && current.open_until.is_none();
-        let Some(ended) = self.current.take_if(serves) else {
+        let Some(crashed) = self.current.take_if(serving) else {
             return false;
         };
-        self.former = None;
-        self.ended = Some(ended.incarnation);
+        self.previous = None;
+        self.crashed = Some(crashed.incarnation);
         true
     }
 
     fn retire(&mut self, replaced: Current) {
-        self.forget(replaced.incarnation.clone());
-        self.former = Some(replaced);
+        self.add_retired(replaced.incarnation.clone());
+        self.previous = Some(replaced);
     }
 
-    fn forget(&mut self, incarnation: Incarnation) {
+    fn add_retired(&mut self, incarnation: Incarnation) {
         self.retired.push_back(incarnation);
-        if self.retired.len() > RETIRED_KEPT {
+        if self.retired.len() > MAX_RETIRED {
             self.retired.pop_front();
         }
     }
 
     fn replace(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) {
         let incarnation = record.incarnation();
-        if let Some(ended) = self.ended.take().filter(|ended| !ended.may_be(&incarnation)) {
-            self.forget(ended);
+        if let Some(crashed) = self.crashed.take().filter(|crashed| !crashed.may_be(&incarnation)) {
+            self.add_retired(crashed);
         }
         if let Some(replaced) = self.current.take() {
             self.retire(replaced);
         }
-        // An end that is news was acknowledged by this process; any other may have been
-        // acknowledged long ago, by an earlier life.
+        // An incarnation first seen while it shuts down may have announced that to an earlier process
+        // of this sidecar, which acknowledged it long ago. So it gets no time for calls in transit.
         let leaving = record.state != InstanceState::Ready;
         self.current = Some(Current {
             incarnation,
-            version: bounded(&record.version),
+            version: truncate_version(&record.version),
             state: record.state,
             slots: record.slots,
             cold_until: now + u64::from(record.cold_remaining_ms),
@@ -204,27 +217,27 @@
     }
 
     fn advance(&mut self, of: &Incarnation, state: InstanceState, now: Millis) -> bool {
-        let is_it = |current: &&mut Current| current.incarnation.may_be(of);
-        let Some(current) = self.current.as_mut().filter(is_it) else {
+        let matches = |current: &&mut Current| current.incarnation.may_be(of);
+        let Some(current) = self.current.as_mut().filter(matches) else {
             return false;
         };
         if state <= current.state {
             return false;
         }
         current.state = state;
-        let open_for = (self.drain_ms as f64 * OPEN_PART) as u64;
+        let open_for = (self.drain_ms as f64 * OPEN_FRACTION) as u64;
         current.open_until.get_or_insert(now + open_for);
         true
     }
 
     fn close_now(&mut self, of: &Incarnation) {
-        let is_it = |current: &&mut Current| current.incarnation.may_be(of);
-        if let Some(current) = self.current.as_mut().filter(is_it) {
+        let matches = |current: &&mut Current| current.incarnation.may_be(of);
+        if let Some(current) = self.current.as_mut().filter(matches) {
             current.open_until = Some(0);
         }
     }
 
-    /// Whether calls may pass now.
+    /// Returns whether calls are admitted now.
     pub fn state(&self, now: Millis) -> GateState {
         let Some(current) = &self.current else {
             return GateState::Absent;
@@ -236,37 +249,37 @@
         }
     }
 
-    /// Id of the incarnation beside this sidecar.
+    /// Returns the id of the current incarnation.
     pub fn id(&self) -> Option<&str> {
         self.incarnation().map(|incarnation| incarnation.id.as_str())
     }
 
-    /// The incarnation beside this sidecar.
+    /// Returns the current incarnation.
     pub fn incarnation(&self) -> Option<&Incarnation> {
         self.current.as_ref().map(|current| &current.incarnation)
     }
 
-    /// Version of its software.
+    /// Returns the software version of the upstream.
     pub fn version(&self) -> Option<&str> {
         self.current.as_ref().map(|current| current.version.as_str())
     }
 
-    /// Whether it is still slow after its start.
+    /// Whether the upstream is still slow after its start.
     pub fn is_cold(&self, now: Millis) -> bool {
         self.current.as_ref().is_some_and(|current| now < current.cold_until)
     }
 
-    /// Until when it is slow after its start; in the past if it is not.
+    /// Returns the end of the cold phase; a time in the past if the upstream is warm.
     pub fn cold_until(&self) -> Millis {
         self.current.as_ref().map_or(0, |current| current.cold_until)
     }
 
-    /// Calls it works on at once.
+    /// Returns how many calls the upstream processes concurrently.
     pub fn slots(&self) -> Option<u32> {
         self.current.as_ref().map(|current| current.slots)
     }
 
-    /// What others should know.
+    /// Returns the record to publish to other nodes.
     pub fn record(&self, now: Millis) -> Option<InstanceRecord> {
         self.current.as_ref().map(|current| InstanceRecord {
             id: current.incarnation.id.clone(),
@@ -279,8 +292,8 @@
     }
 }
 
-/// A version's name, cut where it is longer than any that can be ordered: every node keeps it.
-fn bounded(version: &str) -> String {
+/// Truncates a version name to the longest one that a command may name, because every node stores it.
+fn truncate_version(version: &str) -> String {
     let longest = version.len().min(MOST_VERSION_BYTES);
     let end = (0..=longest).rev().find(|end| version.is_char_boundary(*end));
     version[..end.unwrap_or(0)].to_owned()
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
-//! The one gate to an upstream: how many calls it has at once, who waits, and for how long; and
-//! the order of what leaves over the machine's link.
+//! Admission control for one upstream: its concurrency limit and its queue, plus the scheduling of
+//! traffic over the machine's network link.
 //!
-//! Pure: time is passed in as milliseconds of a monotonic clock.
+//! The crate does no I/O; callers pass in the time as milliseconds of a monotonic clock.
 #![forbid(unsafe_code)]
 
 mod cold_start;
