--- a/crates/admission/src/egress.rs
+++ b/crates/admission/src/egress.rs
@@ -8,7 +8,7 @@
 //! This covers downloads of tens of kilobytes that exceed the capacity of the link while slots are
 //! idle.
 
-use crate::pacer::most_small_bytes;
+use crate::pacer::max_small_bytes;
 use crate::queue::JobId;
 use crate::Millis;
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
     fn reservable(&self, class: EgressClass) -> Option<(ClassAverages, f64)> {
         let rate = self.link.bytes_per_ms.filter(|rate| *rate > 0.0)?;
         let averages = self.averages.get(&class)?;
-        (averages.response_bytes > most_small_bytes(rate) as f64).then_some((*averages, rate))
+        (averages.response_bytes > max_small_bytes(rate) as f64).then_some((*averages, rate))
     }
 
     /// Checks whether the response of a call would be sent in time. The error is the time after which
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -154,8 +154,8 @@
             self.running += 1;
             self.cold_start.note_start(now);
             let turn = self.shares.turn(request.rank, request.tenant);
-            self.shares.taken(request.rank, request.tenant, turn);
-            self.shares.started(request.rank, turn);
+            self.shares.on_admitted(request.rank, request.tenant, turn);
+            self.shares.on_started(request.rank, turn);
             return Decision::Run;
         }
         if let Err(retry_after_ms) = self.check_room(request, now) {
@@ -165,7 +165,7 @@
         let key = self.key(request);
         self.arrivals += 1;
         let SlotRequest { job, rank, tenant, .. } = request;
-        self.shares.taken(rank, tenant, key.2);
+        self.shares.on_admitted(rank, tenant, key.2);
         self.waiting.insert(key, Waiting { job, tenant, latest_start });
         Decision::Wait
     }
@@ -234,7 +234,7 @@
             return None;
         }
         let ((_, rank, turn, ..), waiting) = self.waiting.pop_first()?;
-        self.shares.started(rank, turn);
+        self.shares.on_started(rank, turn);
         self.cold_start.note_start(now);
         self.running += 1;
         Some(waiting.job)
@@ -257,7 +257,7 @@
             if !should_remove(waiting) {
                 return true;
             }
-            shares.given_up(*rank, waiting.tenant);
+            shares.on_abandoned(*rank, waiting.tenant);
             jobs.push(waiting.job);
             false
         });
--- a/crates/admission/src/taken.rs
+++ b/crates/admission/src/taken.rs
@@ -1,19 +1,20 @@
-//! Slots of an upstream that are taken by what its one sender knows nothing of.
+//! Upstream slots that are occupied by requests the sidecar does not track.
 //!
-//! Load answered: runs that were cut and that the upstream works on all the same, and runs of this
-//! sidecar's former life. With them a call that is let in is one more than the upstream works on: it
-//! waits there, unseen, or is reset, or never answered, by upstreams that cannot queue. What the
-//! upstream tells of its load with each answer shows them. Pure: time is passed in as milliseconds.
+//! Such requests are aborted calls that the upstream keeps processing, and calls from a previous
+//! process of this sidecar. While they run, a newly admitted call exceeds the capacity of the
+//! upstream: it waits there unnoticed, or an upstream that cannot queue resets it or never answers.
+//! The load that the upstream reports with each response reveals them. The module does no I/O;
+//! callers pass in the time as milliseconds.
 
 use crate::Millis;
 
-/// How long what an upstream told counts, milliseconds: it answers several times in it, or it is idle.
-const FRESH_MS: u64 = 300;
-/// Most part of the slots that is taken for taken: an upstream that tells of more does not tell the truth,
-/// and is not starved for it.
-const MOST_PART: f64 = 0.5;
+/// How long a reported load is valid, milliseconds. A busy upstream responds several times within it.
+const REPORT_FRESH_MS: u64 = 300;
+/// Maximum fraction of the slots that counts as occupied. An upstream that reports more is wrong, and
+/// must not be starved because of that.
+const MAX_FRACTION: f64 = 0.5;
 
-/// Slots taken by others, as the upstream's figures show.
+/// Slots occupied by untracked requests, as derived from the load that the upstream reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UntrackedSlots {
     count: u32,
@@ -21,24 +22,25 @@
 }
 
 impl UntrackedSlots {
-    /// Takes in how many requests the upstream has by its own count, those that wait included, and by
-    /// the count of its sender. Of requests on their way it knows nothing, so a lower count says nothing.
-    pub fn note(&mut self, told: u32, own: u32, now: Millis) {
-        self.count = told.saturating_sub(own);
-        self.until = now + FRESH_MS;
+    /// Records how many requests the upstream has by its own count, including waiting ones, and how many
+    /// the sidecar has sent it. The upstream does not know of requests in transit, so a lower count has
+    /// no meaning.
+    pub fn note(&mut self, reported: u32, sent: u32, now: Millis) {
+        self.count = reported.saturating_sub(sent);
+        self.until = now + REPORT_FRESH_MS;
     }
 
-    /// Whether some are taken.
+    /// Whether any slots are occupied by untracked requests.
     pub fn any(&self, now: Millis) -> bool {
         self.count > 0 && now < self.until
     }
 
-    /// Slots that are left of these.
+    /// Returns how many of these slots are available.
     pub fn available_of(&self, slots: u32, now: Millis) -> u32 {
         if !self.any(now) {
             return slots;
         }
-        let most = (f64::from(slots) * MOST_PART) as u32;
+        let most = (f64::from(slots) * MAX_FRACTION) as u32;
         slots - self.count.min(most)
     }
 }
