--- a/crates/admission/tests/egress.rs
+++ b/crates/admission/tests/egress.rs
@@ -1,39 +1,40 @@
-//! The outgoing link: what goes first, what waits, and which runs may begin for it.
+//! Tests of the outgoing link: pacing, priorities, and admission by response size.
 
 use admission::{EgressClass, EgressReservations, EgressTimeLimits, LinkState, Pacer, SendUrgency};
 use expect_test::expect;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
 
-/// A link of 2,000 bytes a millisecond (16 Mbit/s).
+/// Link rate of 2,000 bytes per millisecond (16 Mbit/s).
 const LINK: f64 = 2_000.0;
-/// What a socket takes before its peer has it, bytes.
+/// Socket buffer size, bytes.
 const SOCKET_BYTES: usize = 64 * 1024;
 const SMALL_BYTES: usize = 700;
 const LARGE_BYTES: usize = 90_000;
 const LARGE_RUN_MS: u64 = 140;
 const LARGE_PATIENCE_MS: u64 = 375;
 const LARGE_DEADLINE_MS: u64 = 1_500;
-const PLAYED_MS: u64 = 20_000;
+const SIMULATED_MS: u64 = 20_000;
 const LARGE: EgressClass = EgressClass { rank: 2, target_ms: 1_500 };
 const SMALL: EgressClass = EgressClass { rank: 2, target_ms: 200 };
-const UNHURRIED: SendUrgency = SendUrgency { deferrable: true, rank: 2, target_ms: 1_500 };
-const BEGUN: SendUrgency = SendUrgency { deferrable: false, rank: 2, target_ms: 200 };
+const DEFERRABLE: SendUrgency = SendUrgency { deferrable: true, rank: 2, target_ms: 1_500 };
+const URGENT: SendUrgency = SendUrgency { deferrable: false, rank: 2, target_ms: 200 };
 
-/// A caller of this patience that waits for as long as those of large answers do.
+/// Time limits of a caller with this patience and the deadline of large responses.
 fn within(patience_ms: u64) -> EgressTimeLimits {
     EgressTimeLimits { patience_ms, deadline_ms: LARGE_DEADLINE_MS }
 }
 
-/// The link beyond the sockets: first come, first served.
+/// The simulated link behind the sockets, in FIFO order.
 struct Link {
     bytes_per_ms: f64,
     free_at_ms: f64,
 }
 
 impl Link {
-    /// When bytes that are handed over now are through; each packet has 66 of its own.
-    fn carry(&mut self, bytes: usize, now_ms: f64) -> f64 {
+    /// Returns when bytes that are written now have been transmitted. Each packet has 66 bytes of
+    /// overhead.
+    fn transmit(&mut self, bytes: usize, now_ms: f64) -> f64 {
         let begins = self.free_at_ms.max(now_ms);
         let carried = bytes + bytes.div_ceil(1_448) * 66;
         self.free_at_ms = begins + carried as f64 / self.bytes_per_ms;
@@ -41,44 +42,45 @@
     }
 }
 
-/// What sockets took and the link has not carried.
+/// Data in the socket buffers that the link has not transmitted yet.
 #[derive(Default)]
 struct Sockets {
-    under_way: BTreeMap<u64, VecDeque<(f64, usize)>>,
+    in_flight: BTreeMap<u64, VecDeque<(f64, usize)>>,
 }
 
 impl Sockets {
     fn room(&self, key: u64) -> usize {
-        let taken = self.under_way.get(&key).map_or(0, |held| held.iter().map(|one| one.1).sum());
-        SOCKET_BYTES.saturating_sub(taken)
+        let accepted =
+            self.in_flight.get(&key).map_or(0, |buffered| buffered.iter().map(|one| one.1).sum());
+        SOCKET_BYTES.saturating_sub(accepted)
     }
 
-    fn take(&mut self, key: u64, bytes: usize, through_ms: f64) {
-        self.under_way.entry(key).or_default().push_back((through_ms, bytes));
+    fn take(&mut self, key: u64, bytes: usize, transmitted_ms: f64) {
+        self.in_flight.entry(key).or_default().push_back((transmitted_ms, bytes));
     }
 
-    /// The connections of which something was carried meanwhile.
+    /// Removes transmitted data and returns the connections it belonged to.
     fn drained(&mut self, now_ms: f64) -> Vec<u64> {
         let mut drained = Vec::new();
-        for (key, held) in &mut self.under_way {
-            let before = held.len();
-            held.retain(|(through_ms, _)| *through_ms > now_ms);
-            if held.len() < before {
+        for (key, buffered) in &mut self.in_flight {
+            let before = buffered.len();
+            buffered.retain(|(transmitted_ms, _)| *transmitted_ms > now_ms);
+            if buffered.len() < before {
                 drained.push(*key);
             }
         }
-        self.under_way.retain(|_, held| !held.is_empty());
+        self.in_flight.retain(|_, buffered| !buffered.is_empty());
         drained
     }
 }
 
-/// What became of one play.
+/// Outcome of a simulation.
 #[derive(Default)]
-struct Played {
-    small_asked: u64,
+struct Outcome {
+    small_requested: u64,
     small_served: u64,
     small_waits_ms: Vec<f64>,
-    large_asked: u64,
+    large_requested: u64,
     large_refused: u64,
     large_in_time: u64,
     large_late: u64,
@@ -86,7 +88,7 @@
     most_waiting_bytes: usize,
 }
 
-impl Played {
+impl Outcome {
     fn small_p99_ms(&mut self) -> f64 {
         self.small_waits_ms.sort_by(f64::total_cmp);
         let last = self.small_waits_ms.len().saturating_sub(1);
@@ -94,115 +96,117 @@
     }
 }
 
-/// A machine that is asked for large answers at `ratio` of its link, and for a small one every
-/// 5 ms; the rate told is `told` times the true one.
-fn play(ratio: f64, told: f64) -> Played {
+/// Simulates a machine whose large responses are requested at `ratio` times its link rate, with one small
+/// response every 5 ms. The configured link rate is `configured` times the actual one.
+fn simulate(ratio: f64, configured: f64) -> Outcome {
     let mut random = fastrand::Rng::with_seed(18);
-    let mut pacer: Pacer<u64> = Pacer::new(Some(LINK * told));
-    let mut book = EgressReservations::default();
+    let mut pacer: Pacer<u64> = Pacer::new(Some(LINK * configured));
+    let mut reservations = EgressReservations::default();
     let mut link = Link { bytes_per_ms: LINK, free_at_ms: 0.0 };
     let mut runs: VecDeque<(u64, u64, usize, u64)> = VecDeque::new();
     let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
     let mut sockets = Sockets::default();
-    let mut played = Played::default();
-    book.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
-    book.note_answer(SMALL, SMALL_BYTES, 44);
+    let mut outcome = Outcome::default();
+    reservations.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
+    reservations.note_answer(SMALL, SMALL_BYTES, 44);
     let mut job = 0;
-    for now in 0..PLAYED_MS {
+    for now in 0..SIMULATED_MS {
         let now_ms = now as f64;
-        book.set_link_state(LinkState {
+        reservations.set_link_state(LinkState {
             bytes_per_ms: pacer.available_bytes_per_ms(now_ms),
             waiting_bytes: pacer.bytes(),
         });
         if now % 5 == 0 {
-            played.small_asked += 1;
+            outcome.small_requested += 1;
             assert_eq!(
-                book.check_room(SMALL, within(50), now),
+                reservations.check_room(SMALL, within(50), now),
                 Ok(()),
-                "a small one is never refused"
+                "a small response is never refused"
             );
-            assert!(pacer.bypasses_pacing(SMALL_BYTES, BEGUN));
+            assert!(pacer.bypasses_pacing(SMALL_BYTES, URGENT));
             pacer.note_unpaced(SMALL_BYTES, now_ms);
             pacer.note_received(SMALL_BYTES, now_ms);
-            link.carry(0, now_ms);
+            link.transmit(0, now_ms);
             link.free_at_ms += 66.0 / link.bytes_per_ms;
-            let wait_ms = link.carry(SMALL_BYTES, now_ms) - now_ms;
-            played.small_waits_ms.push(wait_ms);
-            played.small_served += u64::from(wait_ms < 200.0);
+            let wait_ms = link.transmit(SMALL_BYTES, now_ms) - now_ms;
+            outcome.small_waits_ms.push(wait_ms);
+            outcome.small_served += u64::from(wait_ms < 200.0);
         }
         let chance = ratio * LINK / LARGE_BYTES as f64;
         if random.f64() < chance {
             job += 1;
-            played.large_asked += 1;
-            match book.check_room(LARGE, within(LARGE_PATIENCE_MS), now) {
+            outcome.large_requested += 1;
+            match reservations.check_room(LARGE, within(LARGE_PATIENCE_MS), now) {
                 Ok(()) => {
-                    book.reserve(job, LARGE);
+                    reservations.reserve(job, LARGE);
                     let bytes = random.usize(LARGE_BYTES / 2..LARGE_BYTES * 3 / 2);
                     runs.push_back((now + LARGE_RUN_MS, job, bytes, now));
                 }
                 Err(retry_ms) => {
-                    played.large_refused += 1;
-                    played.longest_retry_ms = played.longest_retry_ms.max(retry_ms);
+                    outcome.large_refused += 1;
+                    outcome.longest_retry_ms = outcome.longest_retry_ms.max(retry_ms);
                 }
             }
         }
         while let Some((_, job, bytes, since)) = runs.front().copied().filter(|run| run.0 <= now) {
             runs.pop_front();
-            book.release(job);
-            book.note_answer(LARGE, bytes, LARGE_RUN_MS);
-            pacer.push(job, bytes, UNHURRIED, now_ms);
+            reservations.release(job);
+            reservations.note_answer(LARGE, bytes, LARGE_RUN_MS);
+            pacer.push(job, bytes, DEFERRABLE, now_ms);
             waiting.insert(job, since);
         }
-        played.most_waiting_bytes = played.most_waiting_bytes.max(pacer.bytes());
+        outcome.most_waiting_bytes = outcome.most_waiting_bytes.max(pacer.bytes());
         for key in sockets.drained(now_ms) {
             pacer.note_writable(key);
         }
         while let Some(piece) = pacer.next(now_ms) {
-            let taken = piece.bytes.min(sockets.room(piece.key));
-            pacer.note_written(piece.key, taken, now_ms);
-            let through_ms = link.carry(taken, now_ms);
-            sockets.take(piece.key, taken, through_ms);
-            if taken < piece.bytes {
+            let accepted = piece.bytes.min(sockets.room(piece.key));
+            pacer.note_written(piece.key, accepted, now_ms);
+            let transmitted_ms = link.transmit(accepted, now_ms);
+            sockets.take(piece.key, accepted, transmitted_ms);
+            if accepted < piece.bytes {
                 pacer.note_blocked(piece.key, now_ms);
             }
             if !pacer.is_waiting(piece.key) {
-                let since = waiting.remove(&piece.key).expect("waits");
-                let in_time = through_ms <= (since + LARGE_DEADLINE_MS) as f64;
-                played.large_in_time += u64::from(in_time);
-                played.large_late += u64::from(!in_time);
+                let since = waiting.remove(&piece.key).expect("is waiting");
+                let in_time = transmitted_ms <= (since + LARGE_DEADLINE_MS) as f64;
+                outcome.large_in_time += u64::from(in_time);
+                outcome.large_late += u64::from(!in_time);
             }
         }
     }
-    played
+    outcome
 }
 
 #[test]
 fn small_answers_never_stand_behind_large_ones_and_large_ones_fill_the_link() {
     let mut text = String::new();
     for ratio in [0.0, 0.5, 1.0, 1.5, 3.0] {
-        let mut played = play(ratio, 1.0);
-        let p99_ms = played.small_p99_ms();
-        let carried = played.large_in_time as f64 * LARGE_BYTES as f64 / PLAYED_MS as f64 / LINK;
+        let mut outcome = simulate(ratio, 1.0);
+        let p99_ms = outcome.small_p99_ms();
+        let carried =
+            outcome.large_in_time as f64 * LARGE_BYTES as f64 / SIMULATED_MS as f64 / LINK;
         writeln!(
             text,
             "{ratio}: small {}/{} p99 {p99_ms:.1} ms; large asked {} in time {} late {} refused {} \
              (link {carried:.2}), most waiting {}, longest retry {} ms",
-            played.small_served,
-            played.small_asked,
-            played.large_asked,
-            played.large_in_time,
-            played.large_late,
-            played.large_refused,
-            played.most_waiting_bytes,
-            played.longest_retry_ms
+            outcome.small_served,
+            outcome.small_requested,
+            outcome.large_requested,
+            outcome.large_in_time,
+            outcome.large_late,
+            outcome.large_refused,
+            outcome.most_waiting_bytes,
+            outcome.longest_retry_ms
         )
         .expect("text");
         assert!(p99_ms < 10.0, "ratio {ratio}: {p99_ms} ms");
-        assert_eq!(played.small_served, played.small_asked, "ratio {ratio}");
-        // Of the link without the small ones and the packets' own bytes.
+        assert_eq!(outcome.small_served, outcome.small_requested, "ratio {ratio}");
+        // Capacity of the link without the small responses and the packet overhead.
         let small = (SMALL_BYTES + 2 * 66) as f64 / 5.0 / LINK;
         let possible = ratio.min((1.0 - small) * 1_448.0 / 1_514.0);
-        let offered = played.large_asked as f64 * LARGE_BYTES as f64 / PLAYED_MS as f64 / LINK;
+        let offered =
+            outcome.large_requested as f64 * LARGE_BYTES as f64 / SIMULATED_MS as f64 / LINK;
         assert!(carried >= possible.min(offered) * 0.9, "ratio {ratio}: {carried} of the link");
     }
     expect![[r#"
@@ -217,44 +221,44 @@
 #[test]
 fn a_rate_told_wrong_by_ten_hangs_nothing() {
     let mut text = String::new();
-    for told in [0.1, 10.0] {
-        let mut played = play(1.5, told);
-        let p99_ms = played.small_p99_ms();
+    for configured in [0.1, 10.0] {
+        let mut outcome = simulate(1.5, configured);
+        let p99_ms = outcome.small_p99_ms();
         writeln!(
             text,
-            "told {told}: small {}/{} p99 {p99_ms:.0} ms, large in time {} late {} refused {}, most waiting {}",
-            played.small_served,
-            played.small_asked,
-            played.large_in_time,
-            played.large_late,
-            played.large_refused,
-            played.most_waiting_bytes
+            "configured {configured}: small {}/{} p99 {p99_ms:.0} ms, large in time {} late {} refused {}, most waiting {}",
+            outcome.small_served,
+            outcome.small_requested,
+            outcome.large_in_time,
+            outcome.large_late,
+            outcome.large_refused,
+            outcome.most_waiting_bytes
         )
         .expect("text");
-        assert!(played.small_served * 5 >= played.small_asked * 4, "told {told}");
-        assert!(played.large_in_time + played.large_late > 0, "told {told}");
-        assert!(played.most_waiting_bytes < 4_000_000);
+        assert!(outcome.small_served * 5 >= outcome.small_requested * 4, "configured {configured}");
+        assert!(outcome.large_in_time + outcome.large_late > 0, "configured {configured}");
+        assert!(outcome.most_waiting_bytes < 4_000_000);
     }
     expect![[r#"
-        told 0.1: small 4000/4000 p99 0 ms, large in time 1 late 8 refused 662, most waiting 131700
-        told 10: small 3425/4000 p99 585 ms, large in time 364 late 18 refused 277, most waiting 1653381
+        configured 0.1: small 4000/4000 p99 0 ms, large in time 1 late 8 refused 662, most waiting 131700
+        configured 10: small 3425/4000 p99 585 ms, large in time 364 late 18 refused 277, most waiting 1653381
     "#]].assert_eq(&text);
 }
 
 #[test]
 fn an_unknown_link_paces_and_refuses_nothing() {
-    for told in [None, Some(0.0), Some(-1.0), Some(f64::NAN), Some(f64::INFINITY)] {
-        let mut pacer: Pacer<u64> = Pacer::new(told);
-        assert!(pacer.bypasses_pacing(100_000_000, UNHURRIED), "{told:?}");
+    for configured in [None, Some(0.0), Some(-1.0), Some(f64::NAN), Some(f64::INFINITY)] {
+        let mut pacer: Pacer<u64> = Pacer::new(configured);
+        assert!(pacer.bypasses_pacing(100_000_000, DEFERRABLE), "{configured:?}");
         pacer.note_unpaced(100_000_000, 1.0);
         assert_eq!(pacer.due_in_ms(1.0), None);
-        let mut book = EgressReservations::default();
+        let mut reservations = EgressReservations::default();
         let bytes_per_ms = pacer.available_bytes_per_ms(1.0);
-        book.set_link_state(LinkState { bytes_per_ms, waiting_bytes: usize::MAX });
-        book.note_answer(LARGE, usize::MAX, u64::MAX);
-        book.reserve(1, LARGE);
-        assert_eq!(book.check_room(LARGE, within(0), 1), Ok(()), "{told:?}");
-        assert_eq!(book.wait_ms(), 0);
+        reservations.set_link_state(LinkState { bytes_per_ms, waiting_bytes: usize::MAX });
+        reservations.note_answer(LARGE, usize::MAX, u64::MAX);
+        reservations.reserve(1, LARGE);
+        assert_eq!(reservations.check_room(LARGE, within(0), 1), Ok(()), "{configured:?}");
+        assert_eq!(reservations.wait_ms(), 0);
     }
 }
 
@@ -270,7 +274,7 @@
     let mut now_ms = 0.0;
     while pacer.bytes() > 0 {
         while let Some(piece) = pacer.next(now_ms) {
-            assert!(piece.bytes <= 4_000, "a piece takes 2 ms");
+            assert!(piece.bytes <= 4_000, "a piece takes at most 2 ms");
             pacer.note_written(piece.key, piece.bytes, now_ms);
             order.push(piece.key);
         }
@@ -285,21 +289,25 @@
 #[test]
 fn a_peer_that_reads_nothing_holds_up_nobody_for_long() {
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK));
-    // Four of them take nothing; the fifth would.
+    // Four connections are blocked; the fifth is not.
     for key in 1..=5 {
-        pacer.push(key, 50_000, UNHURRIED, 0.0);
+        pacer.push(key, 50_000, DEFERRABLE, 0.0);
     }
     for key in 1..=4 {
         assert_eq!(pacer.next(0.0).map(|piece| piece.key), Some(key));
         pacer.note_blocked(key, 0.0);
     }
-    assert_eq!(pacer.next(0.0), None, "what four were given may stand in the link");
+    assert_eq!(
+        pacer.next(0.0),
+        None,
+        "the bytes of four blocked connections may be queued in the link"
+    );
     assert_eq!(pacer.due_in_ms(0.0), Some(150.0));
     assert_eq!(pacer.next(150.0).map(|piece| piece.key), Some(5));
-    // One that takes bytes again is in its turn.
+    // A connection that accepts data again gets its turn.
     pacer.note_writable(1);
     assert_eq!(pacer.next(150.0).map(|piece| piece.key), Some(1));
-    // Closed ones leave nothing behind.
+    // Closed connections leave no state behind.
     for key in 1..=5 {
         pacer.remove(key);
     }
@@ -308,115 +316,135 @@
 
 #[test]
 fn messages_that_do_not_wait_leave_a_part_to_those_that_do() {
-    // Small messages alone ask for ten times what the link is told to carry.
+    // The small messages alone need ten times the configured link rate.
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK / 10.0));
-    pacer.push(1, 100_000, UNHURRIED, 0.0);
-    let mut handed_over = 0;
+    pacer.push(1, 100_000, DEFERRABLE, 0.0);
+    let mut written = 0;
     for now in 0..2_000 {
         let now_ms = f64::from(now);
         pacer.note_unpaced(LINK as usize, now_ms);
         while let Some(piece) = pacer.next(now_ms) {
             pacer.note_written(piece.key, piece.bytes, now_ms);
-            handed_over += piece.bytes;
+            written += piece.bytes;
         }
     }
-    let share = handed_over as f64 / 2_000.0 / (LINK / 10.0);
+    let share = written as f64 / 2_000.0 / (LINK / 10.0);
     assert!((0.2..0.3).contains(&share), "{share}");
 }
 
 #[test]
 fn what_is_received_is_acknowledged_over_the_link() {
-    let paced = |received_bytes: usize| {
+    let written_in_one_second = |received_bytes: usize| {
         let mut pacer: Pacer<u64> = Pacer::new(Some(LINK));
-        pacer.push(1, 10_000_000, UNHURRIED, 0.0);
-        let mut handed_over = 0;
+        pacer.push(1, 10_000_000, DEFERRABLE, 0.0);
+        let mut written = 0;
         for now in 0..1_000 {
             let now_ms = f64::from(now);
             pacer.note_received(received_bytes, now_ms);
             while let Some(piece) = pacer.next(now_ms) {
                 pacer.note_written(piece.key, piece.bytes, now_ms);
-                handed_over += piece.bytes;
+                written += piece.bytes;
             }
         }
-        handed_over
+        written
     };
-    // 2,000 bytes a millisecond are two packets, and one of 66 bytes back: 3.3% of the link.
-    let (alone, beside) = (paced(0) as f64, paced(2_000) as f64);
-    assert!((0.955..0.975).contains(&(beside / alone)), "{}", beside / alone);
+    // 2,000 bytes per millisecond are two packets, acknowledged by one of 66 bytes: 3.3% of the link.
+    let (without, with) = (written_in_one_second(0) as f64, written_in_one_second(2_000) as f64);
+    assert!((0.955..0.975).contains(&(with / without)), "{}", with / without);
 }
 
 #[test]
 fn a_rate_that_was_taken_down_is_regained() {
     let mut pacer: Pacer<u64> = Pacer::new(Some(LINK));
     for key in 1..=4 {
-        pacer.push(key, 50_000, UNHURRIED, 0.0);
+        pacer.push(key, 50_000, DEFERRABLE, 0.0);
         pacer.note_blocked(key, 0.0);
     }
-    let part = |pacer: &Pacer<u64>| pacer.bytes_per_ms().expect("told") / (LINK * 0.95);
-    assert!((part(&pacer) - 0.7).abs() < 0.01, "{}", part(&pacer));
+    let rate_factor =
+        |pacer: &Pacer<u64>| pacer.bytes_per_ms().expect("configured") / (LINK * 0.95);
+    assert!((rate_factor(&pacer) - 0.7).abs() < 0.01, "{}", rate_factor(&pacer));
     for key in 1..=4 {
         pacer.remove(key);
     }
     for now in 0..1_000 {
         pacer.next(f64::from(now));
     }
-    assert!((part(&pacer) - 1.0).abs() < 0.01, "{}", part(&pacer));
+    assert!((rate_factor(&pacer) - 1.0).abs() < 0.01, "{}", rate_factor(&pacer));
 }
 
 #[test]
 fn a_run_begins_only_if_its_answer_leaves_in_time() {
-    let mut book = EgressReservations::default();
-    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
-    assert_eq!(book.check_room(LARGE, within(0), 0), Ok(()), "nothing is known of its like yet");
-    book.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
+    let mut reservations = EgressReservations::default();
+    reservations.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    assert_eq!(
+        reservations.check_room(LARGE, within(0), 0),
+        Ok(()),
+        "no response of this class has been seen yet"
+    );
+    reservations.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
     for job in 0..10 {
-        book.reserve(job, LARGE);
+        reservations.reserve(job, LARGE);
     }
-    // 900,000 bytes take 450 ms, 140 of them while it runs.
-    assert_eq!(book.wait_ms(), 450);
-    assert_eq!(book.check_room(LARGE, within(310), 0), Ok(()));
-    assert_eq!(book.check_room(LARGE, within(200), 0), Err(110));
-    assert_eq!(book.check_room(LARGE, within(200), 0), Err(155), "behind one that comes back");
-    assert_eq!(book.check_room(LARGE, within(200), 60_000), Err(110), "which was long ago");
-    // A more urgent one does not stand behind them, nor does a small one.
+    // 900,000 bytes take 450 ms, of which 140 ms pass while the call runs.
+    assert_eq!(reservations.wait_ms(), 450);
+    assert_eq!(reservations.check_room(LARGE, within(310), 0), Ok(()));
+    assert_eq!(reservations.check_room(LARGE, within(200), 0), Err(110));
+    assert_eq!(
+        reservations.check_room(LARGE, within(200), 0),
+        Err(155),
+        "behind a refused call that will retry"
+    );
+    assert_eq!(
+        reservations.check_room(LARGE, within(200), 60_000),
+        Err(110),
+        "the refusal has been forgotten"
+    );
+    // Neither a more urgent call nor a small response waits behind them.
     let urgent = EgressClass { rank: 1, target_ms: 1_500 };
-    book.note_answer(urgent, LARGE_BYTES, LARGE_RUN_MS);
-    assert_eq!(book.check_room(urgent, within(0), 0), Ok(()));
-    book.note_answer(SMALL, SMALL_BYTES, 44);
-    assert_eq!(book.check_room(SMALL, within(0), 0), Ok(()));
-    // Those that end give back what they booked.
+    reservations.note_answer(urgent, LARGE_BYTES, LARGE_RUN_MS);
+    assert_eq!(reservations.check_room(urgent, within(0), 0), Ok(()));
+    reservations.note_answer(SMALL, SMALL_BYTES, 44);
+    assert_eq!(reservations.check_room(SMALL, within(0), 0), Ok(()));
+    // Calls that end release their reservations.
     for job in 0..10 {
-        book.release(job);
+        reservations.release(job);
     }
-    assert_eq!((book.wait_ms(), book.check_room(LARGE, within(0), 60_000)), (0, Ok(())));
+    assert_eq!(
+        (reservations.wait_ms(), reservations.check_room(LARGE, within(0), 60_000)),
+        (0, Ok(()))
+    );
 }
 
 #[test]
 fn an_endless_answer_and_odd_deadlines_are_bounded() {
-    let mut book = EgressReservations::default();
-    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
-    book.note_answer(LARGE, usize::MAX, LARGE_RUN_MS);
-    book.reserve(1, LARGE);
+    let mut reservations = EgressReservations::default();
+    reservations.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    reservations.note_answer(LARGE, usize::MAX, LARGE_RUN_MS);
+    reservations.reserve(1, LARGE);
     for patience_ms in [0, 1, 3_600_000] {
-        assert_eq!(book.check_room(LARGE, within(patience_ms), 0), Err(10_000), "{patience_ms}");
+        assert_eq!(
+            reservations.check_room(LARGE, within(patience_ms), 0),
+            Err(10_000),
+            "{patience_ms}"
+        );
     }
-    // Sizes are taken anew: two hundred answers later it is forgotten.
-    book.release(1);
+    // After 2,000 new responses the average has forgotten the extremely long one.
+    reservations.release(1);
     for _ in 0..2_000 {
-        book.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
+        reservations.note_answer(LARGE, LARGE_BYTES, LARGE_RUN_MS);
     }
-    book.reserve(2, LARGE);
-    assert!(book.wait_ms() < 60, "{}", book.wait_ms());
-    book.note_sent(usize::MAX);
-    book.note_sent(usize::MAX);
-    assert_eq!(book.check_room(LARGE, within(0), 60_000), Err(10_000));
-    // A deadline of an hour does not fill the memory: what waits is bounded by what is refused.
-    book.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
-    assert_eq!(book.check_room(LARGE, within(3_600_000), 120_000), Ok(()));
-    // Kinds are bounded: those past the bound are taken to be small.
+    reservations.reserve(2, LARGE);
+    assert!(reservations.wait_ms() < 60, "{}", reservations.wait_ms());
+    reservations.note_sent(usize::MAX);
+    reservations.note_sent(usize::MAX);
+    assert_eq!(reservations.check_room(LARGE, within(0), 60_000), Err(10_000));
+    // A patience of one hour does not cause unbounded memory use, because refusals bound what waits.
+    reservations.set_link_state(LinkState { bytes_per_ms: Some(LINK), waiting_bytes: 0 });
+    assert_eq!(reservations.check_room(LARGE, within(3_600_000), 120_000), Ok(()));
+    // The number of classes is bounded; further classes count as small.
     for rank in 0..10_000 {
-        book.note_answer(EgressClass { rank, target_ms: 1 }, LARGE_BYTES, 1);
+        reservations.note_answer(EgressClass { rank, target_ms: 1 }, LARGE_BYTES, 1);
     }
-    book.reserve(3, EgressClass { rank: 9_999, target_ms: 1 });
-    assert!(book.wait_ms() < 60);
+    reservations.reserve(3, EgressClass { rank: 9_999, target_ms: 1 });
+    assert!(reservations.wait_ms() < 60);
 }
--- a/crates/admission/tests/pace.rs
+++ b/crates/admission/tests/pace.rs
@@ -1,4 +1,5 @@
-//! The pace of an upstream: what it tells, what its runs show, and what of both is believed.
+//! Tests of `Pace`: the pace that an upstream reports, the pace measured from its calls, and how the two
+//! are combined.
 
 use admission::Pace;
 use expect_test::expect;
@@ -6,36 +7,37 @@
 
 const USUAL_MS: u32 = 100;
 
-/// Runs of 100 ms usual, one each 20 ms, that take `pace` times as long, spread by a half either way.
-fn run(pace: &mut Pace, real: f64, runs: u64, from: u64) -> u64 {
+/// Records calls with a usual duration of 100 ms, one every 20 ms. They take `real` times as long, with
+/// a uniform spread of 50% in both directions.
+fn record_calls(pace: &mut Pace, actual: f64, calls: u64, from: u64) -> u64 {
     let mut random = fastrand::Rng::with_seed(11);
-    for number in 0..runs {
-        let spent_ms = f64::from(USUAL_MS) * real * (0.5 + random.f64());
+    for number in 0..calls {
+        let spent_ms = f64::from(USUAL_MS) * actual * (0.5 + random.f64());
         pace.note_run(spent_ms as u64, USUAL_MS, from + number * 20);
     }
-    from + runs * 20
+    from + calls * 20
 }
 
 #[test]
 fn nothing_is_said_before_something_is_known() {
     let mut pace = Pace::default();
     assert_eq!((pace.percent(0), pace.reported_percent(0)), (0, 0));
-    run(&mut pace, 1.6, 14, 0);
-    assert_eq!(pace.percent(300), 0, "a few runs tell nothing");
+    record_calls(&mut pace, 1.6, 14, 0);
+    assert_eq!(pace.percent(300), 0, "a few calls are not enough");
     for _ in 0..100 {
         pace.note_run(900, 0, 300);
     }
-    assert_eq!(pace.percent(300), 0, "nor do runs of which nobody knows what is usual");
+    assert_eq!(pace.percent(300), 0, "calls without a usual duration do not count");
 }
 
 #[test]
 fn runs_show_an_uneven_pace_within_a_second_or_two() {
     let mut seen = String::new();
-    for real in [0.5, 0.8, 1.0, 1.3, 1.6] {
+    for actual in [0.5, 0.8, 1.0, 1.3, 1.6] {
         let mut pace = Pace::default();
-        let mut at = run(&mut pace, real, 50, 0);
-        write!(seen, "{real}: {}", pace.percent(at)).expect("text");
-        at = run(&mut pace, real, 50, at);
+        let mut at = record_calls(&mut pace, actual, 50, 0);
+        write!(seen, "{actual}: {}", pace.percent(at)).expect("text");
+        at = record_calls(&mut pace, actual, 50, at);
         writeln!(seen, " then {}", pace.percent(at)).expect("text");
     }
     expect![[r#"
@@ -52,7 +54,8 @@
 fn a_figure_that_changes_often_counts_while_it_is_fresh() {
     let mut pace = Pace::default();
     let mut seen = String::new();
-    // A neighbour slows the upstream by 2.5 for one of four spells of 600 ms; it answers each 50 ms.
+    // A noisy neighbour slows the upstream down by a factor of 2.5 in one of four periods of 600 ms. The
+    // upstream responds every 50 ms.
     for at in (0..7_200).step_by(50) {
         let slowed = at / 600 % 4 == 3;
         pace.note_reported(if slowed { 300 } else { 120 }, at);
@@ -61,7 +64,7 @@
     for silent_ms in [0, 500, 599, 600, 5_000] {
         writeln!(seen, "{silent_ms}: {}", pace.percent(7_150 + silent_ms)).expect("text");
     }
-    // What is no longer fresh counts as the mean.
+    // After the last report has become stale, the mean is used.
     expect![[r#"
         0: 300
         500: 300
@@ -74,19 +77,19 @@
 
 #[test]
 fn a_figure_that_is_not_true_is_mended_by_runs() {
-    // It says that it is twice as quick as usual, and takes three times as long.
+    // It reports being twice as fast as usual, but takes three times as long as that.
     let mut pace = Pace::default();
     let mut at = 0;
     let mut seen = String::new();
     for _ in 0..5 {
         for _ in 0..25 {
             pace.note_reported(50, at);
-            at = run(&mut pace, 1.5, 1, at);
+            at = record_calls(&mut pace, 1.5, 1, at);
         }
         write!(seen, "{} ", pace.percent(at)).expect("text");
     }
     expect!["102 124 134 138 140 "].assert_eq(&seen);
-    assert_eq!(pace.reported_percent(at), 50, "what it tells is passed on as it is");
+    assert_eq!(pace.reported_percent(at), 50, "the reported value is passed on unchanged");
 }
 
 #[test]
@@ -114,7 +117,7 @@
 #[test]
 fn an_upstream_that_is_given_nothing_any_more_is_tried_again() {
     let mut pace = Pace::default();
-    let at = run(&mut pace, 2.5, 200, 0);
+    let at = record_calls(&mut pace, 2.5, 200, 0);
     let seen: Vec<u32> = [0, 2_500, 5_000, 20_000].map(|later| pace.percent(at + later)).to_vec();
     expect!["[224, 188, 162, 108]"].assert_eq(&format!("{seen:?}"));
 }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of one upstream among tenants, in virtual time.
+//! Tests of fair sharing among the tenants of one upstream, in virtual time.
 
 use admission::{Admission, Decision, SlotRequest, TenantKey};
 use expect_test::expect;
@@ -13,7 +13,7 @@
     Some(TenantKey::of(name.as_bytes()))
 }
 
-fn ticket(job: u64, tenant: Option<TenantKey>) -> SlotRequest {
+fn request(job: u64, tenant: Option<TenantKey>) -> SlotRequest {
     SlotRequest {
         job,
         begun: false,
@@ -29,24 +29,25 @@
 fn tenants_of_one_rank_take_turns() {
     let mut admission = Admission::new(2);
     for job in 0..2 {
-        assert_eq!(admission.submit(ticket(job, key("hot")), 0), Decision::Run);
+        assert_eq!(admission.submit(request(job, key("hot")), 0), Decision::Run);
     }
     let waiting: [(u64, Option<TenantKey>); 5] =
         [(10, key("hot")), (11, key("hot")), (12, key("small")), (13, key("small")), (14, None)];
     for (job, tenant) in waiting {
-        assert_eq!(admission.submit(ticket(job, tenant), 1), Decision::Wait, "{job}");
+        assert_eq!(admission.submit(request(job, tenant), 1), Decision::Wait, "{job}");
     }
-    let urgent = SlotRequest { rank: 0, ..ticket(15, key("hot")) };
+    let urgent = SlotRequest { rank: 0, ..request(15, key("hot")) };
     assert_eq!(admission.submit(urgent, 2), Decision::Wait);
-    let begun = SlotRequest { begun: true, rank: 9, ..ticket(16, None) };
+    let begun = SlotRequest { begun: true, rank: 9, ..request(16, None) };
     assert_eq!(admission.submit(begun, 2), Decision::Wait);
     let mut order = Vec::new();
     for _ in 0..7 {
         admission.release(None);
         order.push(admission.start_next(0).expect("some wait"));
     }
-    // Begun work, then the rank; one without a tenant has no turn to wait for. The first of the small
-    // tenant goes before the third of the hot one, and its second beside that.
+    // Nested calls go first, then the rank decides; a call without a tenant does not wait for a turn.
+    // The first call of the small tenant goes before the third of the hot one, and its second call has
+    // the same turn as that third.
     assert_eq!(order, [16, 15, 14, 12, 10, 13, 11]);
 }
 
@@ -54,8 +55,8 @@
 fn without_tenants_the_order_is_that_of_arrival() {
     for tenant in [None, key("only")] {
         let mut admission = Admission::new(1);
-        assert_eq!(admission.submit(ticket(0, tenant), 0), Decision::Run);
-        let patient = |job| SlotRequest { patience_ms: 10_000, ..ticket(job, tenant) };
+        assert_eq!(admission.submit(request(0, tenant), 0), Decision::Run);
+        let patient = |job| SlotRequest { patience_ms: 10_000, ..request(job, tenant) };
         for job in 1..9 {
             assert_eq!(admission.submit(patient(job), 0), Decision::Wait);
         }
@@ -69,9 +70,9 @@
 #[test]
 fn what_was_never_run_costs_no_turn() {
     let mut admission = Admission::new(1);
-    assert_eq!(admission.submit(ticket(0, key("other")), 0), Decision::Run);
-    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..ticket(job, key(tenant)) };
-    // Three of one tenant leave, three wait too long, and others are refused.
+    assert_eq!(admission.submit(request(0, key("other")), 0), Decision::Run);
+    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..request(job, key(tenant)) };
+    // Three calls of one tenant are cancelled, three expire, and others are refused.
     for job in 1..4 {
         assert_eq!(admission.submit(patient(job, "a"), 0), Decision::Wait);
         assert!(admission.cancel(job));
@@ -98,10 +99,10 @@
 fn a_tenant_that_was_alone_is_not_held_to_it() {
     let mut admission = Admission::new(1);
     for job in 0..1_000 {
-        assert_eq!(admission.submit(ticket(job, key("a")), 0), Decision::Run);
+        assert_eq!(admission.submit(request(job, key("a")), 0), Decision::Run);
         admission.release(None);
     }
-    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..ticket(job, key(tenant)) };
+    let patient = |job, tenant| SlotRequest { patience_ms: 10_000, ..request(job, key(tenant)) };
     assert_eq!(admission.submit(patient(1_000, "a"), 0), Decision::Run);
     for (job, tenant) in [(1, "a"), (2, "b"), (3, "a"), (4, "b"), (5, "b")] {
         assert_eq!(admission.submit(patient(job, tenant), 0), Decision::Wait);
@@ -120,17 +121,18 @@
         let mut admission = Admission::new(1);
         for number in 0..20_000_u64 {
             let tenant = key(&number.to_string());
-            let ticket = SlotRequest { rank: (number % ranks) as u32, ..ticket(number, tenant) };
-            assert_eq!(admission.submit(ticket, 0), Decision::Run, "{number}");
+            let request = SlotRequest { rank: (number % ranks) as u32, ..request(number, tenant) };
+            assert_eq!(admission.submit(request, 0), Decision::Run, "{number}");
             admission.release(None);
         }
-        let held = format!("{admission:?}").len();
-        assert!(held < 50_000, "{ranks} ranks: {held} characters describe it");
+        let length = format!("{admission:?}").len();
+        assert!(length < 50_000, "{ranks} ranks: its debug output has {length} characters");
     }
 }
 
-/// Calls served of those that each tenant asked for in a second, at an upstream that serves 120.
-fn served(asked: &[(&str, u64)]) -> BTreeMap<String, (u64, u64)> {
+/// Simulates 20 s at an upstream that serves 120 calls per second, with the given calls per second of
+/// each tenant. Returns the requested and the served calls of each.
+fn served(requested: &[(&str, u64)]) -> BTreeMap<String, (u64, u64)> {
     let mut random = fastrand::Rng::with_seed(7);
     let mut admission = Admission::new(LIMIT);
     let mut counts: BTreeMap<String, (u64, u64)> = BTreeMap::new();
@@ -148,12 +150,12 @@
         });
         admission.expire(now);
         let mut started = Vec::new();
-        for (name, a_second) in asked {
-            if random.u64(0..1_000) < *a_second {
+        for (name, per_second) in requested {
+            if random.u64(0..1_000) < *per_second {
                 let job = names.len() as u64;
                 names.insert(job, (*name).to_owned());
                 counts.entry((*name).to_owned()).or_default().0 += 1;
-                if admission.submit(ticket(job, key(name)), now) == Decision::Run {
+                if admission.submit(request(job, key(name)), now) == Decision::Run {
                     started.push(job);
                 }
             }
@@ -170,23 +172,23 @@
 #[test]
 fn a_hot_tenant_takes_nothing_that_others_ask_for() {
     let rows: [(&str, &[(&str, u64)]); 4] = [
-        ("room for all", &[("hot", 60), ("b", 20), ("c", 20)]),
-        ("hot asks for seven times its usual", &[("hot", 400), ("b", 20), ("c", 30), ("d", 10)]),
+        ("capacity for all", &[("hot", 60), ("b", 20), ("c", 20)]),
+        ("hot sends seven times its usual load", &[("hot", 400), ("b", 20), ("c", 30), ("d", 10)]),
         ("two are hot", &[("hot", 400), ("hotter", 800), ("c", 30), ("d", 10)]),
-        ("all ask for more than there is", &[("hot", 400), ("b", 100), ("c", 100)]),
+        ("all request more than the capacity", &[("hot", 400), ("b", 100), ("c", 100)]),
     ];
     let mut text = String::new();
-    for (name, asked) in rows {
+    for (name, requested) in rows {
         write!(text, "{name}:").expect("text grows");
-        for (tenant, (asked, served)) in served(asked) {
-            write!(text, " {tenant} {served} of {asked};").expect("text grows");
+        for (tenant, (requested, served)) in served(requested) {
+            write!(text, " {tenant} {served} of {requested};").expect("text grows");
         }
         text.push('\n');
     }
     expect![[r#"
-        room for all: b 406 of 406; c 433 of 439; hot 1158 of 1168;
-        hot asks for seven times its usual: b 412 of 419; c 595 of 618; d 177 of 178; hot 1204 of 7918;
+        capacity for all: b 406 of 406; c 433 of 439; hot 1158 of 1168;
+        hot sends seven times its usual load: b 412 of 419; c 595 of 618; d 177 of 178; hot 1204 of 7918;
         two are hot: c 554 of 618; d 176 of 178; hot 830 of 7918; hotter 828 of 15924;
-        all ask for more than there is: b 795 of 2037; c 795 of 2057; hot 798 of 7901;
+        all request more than the capacity: b 795 of 2037; c 795 of 2057; hot 798 of 7901;
     "#]].assert_eq(&text);
 }
