--- a/crates/quarantine/src/board.rs
+++ b/crates/quarantine/src/board.rs
@@ -1,39 +1,39 @@
-//! What a coordinator passes on of crashes and suspects; soft state.
+//! Log of crash and quarantine notices that a coordinator forwards. It is soft state.
 
 use crate::{Millis, Quarantine, Verdict, CRASH_RETENTION_MS};
 use mesh::{Clearing, CrashId, Fingerprint, PoisonNews, PoisonNotice, QuarantineEntry};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Most notices kept for nodes that start later; at some 200 bytes each, 50 kB.
-const MOST_NOTICES: usize = 256;
+/// Maximum number of notices kept for nodes that start later; at about 200 bytes each, 50 kB.
+const MAX_NOTICES: usize = 256;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredNotice {
     position: u64,
     at: Millis,
-    /// Whether this coordinator tells it to others.
-    passed_on: bool,
+    /// Whether this coordinator forwards it to other coordinators.
+    forwarded: bool,
     news: PoisonNews,
 }
 
-/// Notices in the order in which they came, each once, and what they come to.
+/// Notices in order of arrival, without duplicates, and the quarantine state that results from them.
 #[derive(Clone, Debug, Default)]
 pub struct NoticeLog {
     position: u64,
-    notices: VecDeque<Held>,
+    notices: VecDeque<StoredNotice>,
     quarantine: Quarantine,
-    /// Requests that were cleared here, and are not known to be cleared at another coordinator yet.
-    held_here_only: BTreeSet<Fingerprint>,
+    /// Requests that were cleared here and whose clearing no other coordinator has sent back yet.
+    awaiting_replication: BTreeSet<Fingerprint>,
 }
 
 impl NoticeLog {
-    /// Takes in what a sidecar told (`here`) or another coordinator passed on; what a notice came to
-    /// if it is new.
-    pub fn apply(&mut self, notice: PoisonNotice, here: bool, now: Millis) -> Option<Verdict> {
+    /// Applies a notice from a sidecar (`is_local`) or from another coordinator. Returns its verdict if it
+    /// is new.
+    pub fn apply(&mut self, notice: PoisonNotice, is_local: bool, now: Millis) -> Option<Verdict> {
         let PoisonNotice { age_ms, news } = notice;
         let at = now.saturating_sub(age_ms);
-        if let (PoisonNews::Cleared(clearing), false) = (&news, here) {
-            self.held_here_only.remove(&clearing.fingerprint);
+        if let (PoisonNews::Cleared(clearing), false) = (&news, is_local) {
+            self.awaiting_replication.remove(&clearing.fingerprint);
         }
         let verdict = match &news {
             PoisonNews::Crash(report) => match self.quarantine.note_crash(report, at) {
@@ -49,118 +49,118 @@
                 false => return None,
             },
         };
-        self.hold(news, here, at);
+        self.store(news, is_local, at);
         Some(verdict)
     }
 
-    fn hold(&mut self, news: PoisonNews, here: bool, at: Millis) {
-        // What ends a quarantine is passed on by all that hear of it, once: whoever told it first may
-        // have ended before others heard.
+    fn store(&mut self, news: PoisonNews, is_local: bool, at: Millis) {
+        // A clearing that ends a quarantine is forwarded once by every coordinator that receives it: the
+        // one that sent it first may have terminated before the others received it.
         let ends_quarantine =
             matches!(&news, PoisonNews::Cleared(clearing) if clearing.ends_quarantine());
-        let passed_on = here || ends_quarantine;
+        let forwarded = is_local || ends_quarantine;
         self.position += 1;
-        self.notices.push_back(Held { position: self.position, at, passed_on, news });
-        if self.notices.len() > MOST_NOTICES {
+        self.notices.push_back(StoredNotice { position: self.position, at, forwarded, news });
+        if self.notices.len() > MAX_NOTICES {
             self.notices.pop_front();
         }
     }
 
-    /// Clears a request as an operator asks; whether anything was held against it.
+    /// Clears a request on behalf of an operator; returns whether there was any evidence against it.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Millis) -> bool {
         let Some(clearing) = self.quarantine.clear(fingerprint, now) else {
             return false;
         };
-        // What ends a quarantine is told back by others; that of a suspect is not.
+        // Other coordinators send back a clearing that ends a quarantine, but not that of a suspect.
         if clearing.ends_quarantine() {
-            self.held_here_only.insert(fingerprint);
+            self.awaiting_replication.insert(fingerprint);
         }
-        self.hold(PoisonNews::Cleared(clearing), true, now);
+        self.store(PoisonNews::Cleared(clearing), true, now);
         true
     }
 
-    /// Whether a request was cleared here and no other coordinator has told that back.
+    /// Whether a request was cleared here and no other coordinator has sent the clearing back yet.
     pub fn awaits_replication(&self, fingerprint: Fingerprint) -> bool {
-        self.held_here_only.contains(&fingerprint)
+        self.awaiting_replication.contains(&fingerprint)
     }
 
-    /// Notes that nobody waits any more for others to have a clearing.
+    /// Stops waiting until another coordinator has received the clearing.
     pub fn stop_awaiting_replication(&mut self, fingerprint: Fingerprint) {
-        self.held_here_only.remove(&fingerprint);
+        self.awaiting_replication.remove(&fingerprint);
     }
 
-    /// Forgets what is too old to tell anything.
+    /// Drops expired notices and entries.
     pub fn expire(&mut self, now: Millis) {
         self.quarantine.expire(now);
-        while self.notices.front().is_some_and(|held| held.at + CRASH_RETENTION_MS <= now) {
+        while self.notices.front().is_some_and(|stored| stored.at + CRASH_RETENTION_MS <= now) {
             self.notices.pop_front();
         }
     }
 
-    /// Position of the newest notice.
+    /// Returns the position of the newest notice.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Notices after a position, for a subscriber. One at position 0, or behind what is held, is told
-    /// all that is known.
+    /// Returns the notices after a position, for a subscriber. A subscriber at position 0, or one that has
+    /// missed notices no longer kept, gets the complete state.
     pub fn since(&self, position: u64, now: Millis) -> Vec<PoisonNotice> {
-        let missed = self.notices.front().is_some_and(|first| position + 1 < first.position);
-        match position == 0 || missed {
+        let missed_some = self.notices.front().is_some_and(|first| position + 1 < first.position);
+        match position == 0 || missed_some {
             true => self.all(now),
-            false => self.newer(position, now, |_| true),
+            false => self.notices_after(position, now, |_| true),
         }
     }
 
-    /// All that is known, for who may have heard nothing or lost some of it: clearings first that are
-    /// remembered for longer than notices are, then notices as they came.
+    /// Returns the complete state, for a node that may have missed any of it: first the clearings that are
+    /// no longer among the notices, because they are remembered for longer, then all notices in order.
     pub fn all(&self, now: Millis) -> Vec<PoisonNotice> {
-        let unheld = self.quarantine.clearings().filter_map(|(at, clearing)| {
+        let older_clearings = self.quarantine.clearings().filter_map(|(at, clearing)| {
             let Clearing { fingerprint, mut crashes } = clearing;
-            let held = self.cleared_in_notices(fingerprint);
-            crashes.retain(|crash| !held.contains(crash));
+            let stored = self.cleared_in_notices(fingerprint);
+            crashes.retain(|crash| !stored.contains(crash));
             let news = PoisonNews::Cleared(Clearing { fingerprint, crashes: crashes.clone() });
             let age_ms = now.saturating_sub(at);
             (!crashes.is_empty()).then_some(PoisonNotice { age_ms, news })
         });
-        unheld.chain(self.newer(0, now, |_| true)).collect()
+        older_clearings.chain(self.notices_after(0, now, |_| true)).collect()
     }
 
     fn cleared_in_notices(&self, fingerprint: Fingerprint) -> BTreeSet<CrashId> {
-        let named = |held: &Held| match &held.news {
+        let crashes = |stored: &StoredNotice| match &stored.news {
             PoisonNews::Cleared(clearing) if clearing.fingerprint == fingerprint => {
                 clearing.crashes.clone()
             }
             _ => Vec::new(),
         };
-        self.notices.iter().flat_map(named).collect()
+        self.notices.iter().flat_map(crashes).collect()
     }
 
-    /// Notices after a position that are passed on to other coordinators.
+    /// Returns the notices after a position that are forwarded to other coordinators.
     pub fn forwarded_since(&self, position: u64, now: Millis) -> Vec<PoisonNotice> {
-        self.newer(position, now, |held| held.passed_on)
+        self.notices_after(position, now, |stored| stored.forwarded)
     }
 
-    fn newer(
+    fn notices_after(
         &self,
         position: u64,
         now: Millis,
-        wanted: impl Fn(&Held) -> bool,
+        filter: impl Fn(&StoredNotice) -> bool,
     ) -> Vec<PoisonNotice> {
-        let newer = |held: &&Held| held.position > position && wanted(held);
-        let notice = |held: &Held| PoisonNotice {
-            age_ms: now.saturating_sub(held.at),
-            news: held.news.clone(),
+        let is_wanted = |stored: &&StoredNotice| stored.position > position && filter(stored);
+        let notice = |stored: &StoredNotice| PoisonNotice {
+            age_ms: now.saturating_sub(stored.at),
+            news: stored.news.clone(),
         };
-        self.notices.iter().filter(newer).map(notice).collect()
+        self.notices.iter().filter(is_wanted).map(notice).collect()
     }
 
-    /// Requests that are kept from upstreams now.
+    /// Returns the requests that are currently quarantined.
     pub fn entries(&self, now: Millis) -> Vec<QuarantineEntry> {
         self.quarantine.entries(now)
     }
 
-    /// Requests that ran in a crash that nothing explains.
+    /// Returns the number of suspects.
     pub fn suspects(&self, now: Millis) -> usize {
         self.quarantine.suspects(now)
     }
--- a/crates/quarantine/src/identity.rs
+++ b/crates/quarantine/src/identity.rs
@@ -1,40 +1,40 @@
-//! What makes two requests the same, whoever sends them and under whatever id; and two ends of an
-//! upstream, whoever tells of them.
+//! Identity of requests, independent of caller and request id, and of upstream crashes, independent of
+//! the reporting node.
 
 use mesh::{CrashId, CrashReport, Fingerprint};
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// All nodes must give a request the same name, so the key is one for all. It keeps names of this
-/// use apart from other uses of the hash; it is no secret.
+/// Hash key. It is fixed because all nodes must compute the same fingerprint for a request. It separates
+/// these hashes from other uses of the function and is not a secret.
 const KEY: (u64, u64) = (0x6368_7574_6563_6f76, 0x7175_6172_616e_7469);
-/// Bytes at each end of a body that are looked at besides its length: a whole one of 64 MB would
-/// hold up its node for 60 ms (at 1 GB/s, as the hash is published).
+/// Number of bytes hashed at each end of a body, in addition to its length. Hashing a whole body of
+/// 64 MB would block the node for 60 ms, at the published hash rate of 1 GB/s.
 const BODY_END_BYTES: usize = 16 * 1024;
 
-/// What an upstream sees of a request that is the same each time it comes. Not its headers: ids,
-/// deadlines and user agents differ between repeats. Not its caller: what crashes an upstream does
-/// so whoever asks.
+/// The parts of a request that stay the same each time it is repeated. Headers are not included because
+/// ids, deadlines and user agents differ between repeats. The caller is not included because a poison
+/// request crashes an upstream whoever sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Service that runs it.
+    /// Target service.
     pub service: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path with query.
+    /// Path with the query.
     pub target: &'a str,
-    /// Host it is addressed to; empty if it names none.
+    /// Requested host; empty if there is none.
     pub host: &'a str,
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
 impl RequestIdentity<'_> {
-    /// Names the request on all nodes.
+    /// Returns the fingerprint of the request, which is the same on all nodes.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hasher = SipHasher24::new_with_keys(KEY.0, KEY.1);
         for part in [self.service, self.method, self.target, self.host] {
-            // The length keeps neighbours apart.
+            // The length marks the boundary between adjacent parts.
             hasher.write_u64(part.len() as u64);
             hasher.write(part.as_bytes());
         }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Names the end that a report tells of, on all nodes.
+/// Returns the id of a reported crash, which is the same on all nodes.
 pub fn crash_id(report: &CrashReport) -> CrashId {
     let mut hasher = SipHasher24::new_with_keys(KEY.0, KEY.1);
     hasher.write(&report.node.ip.octets());
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,9 +1,12 @@
-//! Poison requests: those that crash whatever upstream runs them (also: queries of death).
+//! Detection and quarantine of poison requests, which crash every upstream that processes them (also
+//! called queries of death).
 //!
-//! Some twenty calls run at an upstream when it ends, and one of them may have ended it. All are
-//! suspects; one that runs well anywhere is none any more. A suspect that another upstream ends
-//! under is put in quarantine: no upstream is given it until its time is over or it is cleared.
-//! See docs/design/0015. Pure; time comes in with events.
+//! When an upstream crashes, it is processing about twenty calls, any of which may have caused the
+//! crash. All of them become suspects until they complete successfully somewhere. If another upstream
+//! crashes while processing a suspect, that request is quarantined: it is not sent to any upstream
+//! until its quarantine expires or it is cleared. See docs/design/0015.
+//!
+//! The crate does no I/O; each event carries its time.
 #![forbid(unsafe_code)]
 
 mod board;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspects, and which are kept from upstreams.
+//! Tracks suspect and quarantined requests.
 
 use crate::clearings::Clearings;
 use crate::identity::crash_id;
@@ -6,51 +6,54 @@
 use mesh::{Clearing, CrashId, CrashReport, Fingerprint, QuarantineEntry};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a crash is remembered, milliseconds: a caller that repeats every few minutes is still
-/// recognized.
+/// How long a crash is remembered, milliseconds: long enough to recognize a request that is repeated
+/// every few minutes.
 pub const CRASH_RETENTION_MS: u64 = 600_000;
-/// Most crashes remembered; a fleet of 2,200 has nine failed machines and 870 restarts a day.
-const MOST_CRASHES: usize = 256;
-/// Most requests of one crash that are remembered; an upstream has some tens of slots.
-const MOST_RUNNING: usize = 256;
-/// Most requests in quarantine; the ones with the least time left go first.
-const MOST_ENTRIES: usize = 1_024;
-/// First time in quarantine, milliseconds. One more crash follows it at most, and doubles it.
-const FIRST_SPAN_MS: u64 = 60_000;
-/// Longest time in quarantine, milliseconds: a mended upstream is tried again within an hour, and a
-/// request that is still poison costs at most 24 upstreams a day.
-const LONGEST_SPAN_MS: u64 = 3_600_000;
-/// Most crashes that a quarantine is known to rest on; the newest stay.
-const MOST_NAMED: usize = 64;
-/// Crashes that a quarantine must rest on.
-const FEWEST_CRASHES: usize = 2;
-/// Several suspects that stood in this many crashes together are all put in quarantine.
+/// Maximum number of remembered crashes; a fleet of 2,200 machines has nine machine failures and 870
+/// restarts a day.
+const MAX_CRASHES: usize = 256;
+/// Maximum number of remembered requests per crash; an upstream has a few tens of slots.
+const MAX_RUNNING: usize = 256;
+/// Maximum number of quarantined requests; those with the least time left are dropped first.
+const MAX_ENTRIES: usize = 1_024;
+/// Duration of the first quarantine, milliseconds. At most one more crash follows it, which doubles the
+/// duration.
+const INITIAL_QUARANTINE_MS: u64 = 60_000;
+/// Longest duration of a quarantine, milliseconds: a fixed upstream gets the request again within an
+/// hour, and a request that is still poison crashes at most 24 upstreams a day.
+const MAX_QUARANTINE_MS: u64 = 3_600_000;
+/// Maximum number of crashes recorded as evidence for a quarantine; the newest are kept.
+const MAX_EVIDENCE: usize = 64;
+/// Minimum number of crashes as evidence for a quarantine.
+const MIN_EVIDENCE: usize = 2;
+/// Number of crashes after which suspects that were present in all of them are quarantined together.
 const CERTAIN_CRASHES: usize = 3;
 
-/// How a request stands.
+/// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing is known against it.
+    /// There is no evidence against it.
     Clear,
-    /// An upstream ended while it ran, and nothing else explains that.
+    /// An upstream crashed while processing it, and nothing else explains the crash.
     Suspect,
-    /// It is kept from upstreams.
+    /// It is not sent to upstreams.
     Quarantined {
-        /// How much longer, milliseconds.
+        /// Remaining time, milliseconds.
         left_ms: u64,
     },
 }
 
-/// What a crash showed.
+/// Conclusion drawn from a crash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was known already.
+    /// The crash was known already.
     Known,
-    /// Any of these may have caused it.
+    /// Any of this number of requests may have caused it.
     Suspects(usize),
-    /// These did, and are in quarantine from now on.
+    /// These requests caused it and are quarantined from now on.
     Quarantined(Vec<QuarantineEntry>),
-    /// A request in quarantine did, which ran because word of it was late.
+    /// A quarantined request caused it, which was processed because the news of its quarantine arrived
+    /// too late.
     Explained(Fingerprint),
 }
 
@@ -58,60 +61,60 @@
 struct Crash {
     id: CrashId,
     at: Millis,
-    /// Whether a request in quarantine is known to have caused it.
+    /// Whether a quarantined request is known to have caused it.
     explained: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// What it rests on; empty if that was not told.
+    /// Crashes that are evidence for it; empty if they were not reported.
     crashes: Vec<CrashId>,
     until: Millis,
-    span_ms: u64,
+    duration_ms: u64,
 }
 
 impl Entry {
-    fn holds(&self, now: Millis) -> bool {
+    fn is_active(&self, now: Millis) -> bool {
         now < self.until
     }
 
-    /// After its time it is a suspect for as long again.
+    /// Whether the request is still a suspect after its quarantine, which lasts as long as the quarantine.
     fn is_on_probation(&self, now: Millis) -> bool {
-        !self.holds(now) && now < self.until + self.span_ms
+        !self.is_active(now) && now < self.until + self.duration_ms
     }
 
-    fn rest_on(&mut self, crashes: &[CrashId]) {
+    fn add_evidence(&mut self, crashes: &[CrashId]) {
         for crash in crashes {
             if !self.crashes.contains(crash) {
                 self.crashes.push(*crash);
             }
         }
-        let surplus = self.crashes.len().saturating_sub(MOST_NAMED);
+        let surplus = self.crashes.len().saturating_sub(MAX_EVIDENCE);
         self.crashes.drain(..surplus);
     }
 }
 
-/// Suspects and requests in quarantine, as one node knows them.
+/// Suspect and quarantined requests known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     next_crash: u64,
     crashes: BTreeMap<u64, Crash>,
-    /// In which crashes a request ran, since it last ran well.
+    /// Crashes during which a request was processed since it last succeeded.
     suspects: BTreeMap<Fingerprint, BTreeSet<u64>>,
     entries: BTreeMap<Fingerprint, Entry>,
     clearings: Clearings,
 }
 
 impl Quarantine {
-    /// Whether nothing is known against any request.
+    /// Whether there is no evidence against any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.entries.is_empty()
     }
 
-    /// How a request stands.
+    /// Returns the status of a request.
     pub fn status(&self, fingerprint: Fingerprint, now: Millis) -> RequestStatus {
         if let Some(entry) = self.entries.get(&fingerprint) {
-            if entry.holds(now) {
+            if entry.is_active(now) {
                 return RequestStatus::Quarantined { left_ms: entry.until - now };
             }
             if entry.is_on_probation(now) {
@@ -125,38 +128,45 @@
         }
     }
 
-    /// Takes in that an upstream ended.
+    /// Records the crash of an upstream.
     pub fn note_crash(&mut self, report: &CrashReport, now: Millis) -> Verdict {
         let id = crash_id(report);
         if self.crashes.values().any(|crash| crash.id == id) {
             return Verdict::Known;
         }
         self.expire(now);
-        let running = report.running.iter().copied().take(MOST_RUNNING);
+        let running = report.running.iter().copied().take(MAX_RUNNING);
         let running: BTreeSet<Fingerprint> =
-            running.filter(|fingerprint| !self.clearings.hold(*fingerprint, id)).collect();
-        let verdict = self.judge(&running, id, now);
+            running.filter(|fingerprint| !self.clearings.covers(*fingerprint, id)).collect();
+        let verdict = self.determine_cause(&running, id, now);
         let explained = !matches!(verdict, Verdict::Suspects(_));
         let number = self.next_crash;
         self.next_crash += 1;
         self.crashes.insert(number, Crash { id, at: now, explained });
-        // Also of a crash that is explained: should the wrong one have been blamed, the right one
-        // is known by its next crash.
+        // Explained crashes count as well: if the wrong request was blamed, the next crash identifies the
+        // right one.
         for fingerprint in running {
             if !self.entries.contains_key(&fingerprint) {
                 self.suspects.entry(fingerprint).or_default().insert(number);
             }
         }
-        self.bound_crashes();
+        self.evict_oldest_crashes();
         verdict
     }
 
-    /// Who caused a crash.
-    fn judge(&mut self, running: &BTreeSet<Fingerprint>, id: CrashId, now: Millis) -> Verdict {
+    /// Determines which requests caused a crash.
+    fn determine_cause(
+        &mut self,
+        running: &BTreeSet<Fingerprint>,
+        id: CrashId,
+        now: Millis,
+    ) -> Verdict {
         for fingerprint in running {
-            if let Some(entry) = self.entries.get_mut(fingerprint).filter(|held| held.holds(now)) {
-                entry.rest_on(&[id]);
-                entry.until = entry.until.max(now + entry.span_ms);
+            if let Some(entry) =
+                self.entries.get_mut(fingerprint).filter(|entry| entry.is_active(now))
+            {
+                entry.add_evidence(&[id]);
+                entry.until = entry.until.max(now + entry.duration_ms);
                 return Verdict::Explained(*fingerprint);
             }
         }
@@ -164,20 +174,24 @@
         if culprits.is_empty() {
             return Verdict::Suspects(running.len());
         }
-        let entries = culprits.into_iter().map(|fingerprint| self.put_in(fingerprint, id, now));
+        let entries =
+            culprits.into_iter().map(|fingerprint| self.quarantine_request(fingerprint, id, now));
         Verdict::Quarantined(entries.collect())
     }
 
-    /// The one that ran in most crashes before this, if there is only one; all of them once they ran
-    /// in enough together.
+    /// Returns the request that was present in the most earlier crashes. If several were, returns none of
+    /// them until they have been present in [`CERTAIN_CRASHES`] crashes, then all of them.
     fn culprits(&self, running: &BTreeSet<Fingerprint>) -> Vec<Fingerprint> {
-        let former = |fingerprint: &Fingerprint| self.crashes_of(fingerprint);
-        let most = running.iter().map(former).max().unwrap_or(0);
+        let earlier_crashes = |fingerprint: &Fingerprint| self.crashes_of(fingerprint);
+        let most = running.iter().map(earlier_crashes).max().unwrap_or(0);
         if most == 0 {
             return Vec::new();
         }
-        let found: Vec<Fingerprint> =
-            running.iter().filter(|held| former(held) == most).copied().collect();
+        let found: Vec<Fingerprint> = running
+            .iter()
+            .filter(|fingerprint| earlier_crashes(fingerprint) == most)
+            .copied()
+            .collect();
         match found.len() == 1 || most + 1 >= CERTAIN_CRASHES {
             true => found,
             false => Vec::new(),
@@ -186,33 +200,38 @@
 
     fn crashes_of(&self, fingerprint: &Fingerprint) -> usize {
         let suspected = self.suspects.get(fingerprint).map_or(0, BTreeSet::len);
-        let before = self.entries.get(fingerprint).map_or(0, |entry| entry.crashes.len());
-        suspected + before
+        let earlier = self.entries.get(fingerprint).map_or(0, |entry| entry.crashes.len());
+        suspected + earlier
     }
 
-    /// Puts a request in quarantine for this crash and those before, which it explains.
-    fn put_in(&mut self, fingerprint: Fingerprint, id: CrashId, now: Millis) -> QuarantineEntry {
-        let former = self.entries.get(&fingerprint);
-        let span_ms =
-            former.map_or(FIRST_SPAN_MS, |entry| (entry.span_ms * 2).min(LONGEST_SPAN_MS));
-        let mut crashes = former.map(|entry| entry.crashes.clone()).unwrap_or_default();
+    /// Quarantines a request for this crash and the earlier ones, which it explains.
+    fn quarantine_request(
+        &mut self,
+        fingerprint: Fingerprint,
+        id: CrashId,
+        now: Millis,
+    ) -> QuarantineEntry {
+        let previous = self.entries.get(&fingerprint);
+        let duration_ms = previous
+            .map_or(INITIAL_QUARANTINE_MS, |entry| (entry.duration_ms * 2).min(MAX_QUARANTINE_MS));
+        let mut crashes = previous.map(|entry| entry.crashes.clone()).unwrap_or_default();
         for number in self.suspects.remove(&fingerprint).unwrap_or_default() {
             if let Some(crash) = self.crashes.get_mut(&number) {
                 crash.explained = true;
                 crashes.push(crash.id);
             }
         }
-        let mut entry = Entry { crashes: Vec::new(), until: now + span_ms, span_ms };
-        entry.rest_on(&crashes);
-        entry.rest_on(&[id]);
+        let mut entry = Entry { crashes: Vec::new(), until: now + duration_ms, duration_ms };
+        entry.add_evidence(&crashes);
+        entry.add_evidence(&[id]);
         let crashes = entry.crashes.clone();
         self.insert(fingerprint, entry);
-        QuarantineEntry { fingerprint, crashes, left_ms: span_ms }
+        QuarantineEntry { fingerprint, crashes, left_ms: duration_ms }
     }
 
     fn insert(&mut self, fingerprint: Fingerprint, entry: Entry) {
         self.entries.insert(fingerprint, entry);
-        if self.entries.len() > MOST_ENTRIES {
+        if self.entries.len() > MAX_ENTRIES {
             let next = self.entries.iter().min_by_key(|(_, entry)| entry.until);
             if let Some(fingerprint) = next.map(|(fingerprint, _)| *fingerprint) {
                 self.entries.remove(&fingerprint);
@@ -220,37 +239,38 @@
         }
     }
 
-    /// Takes over that a request is in quarantine; returns whether that is new. Crashes of which it was
-    /// cleared do not count: a node that has not heard of that brings no quarantine back.
-    pub fn note_quarantined(&mut self, told: &QuarantineEntry, now: Millis) -> bool {
-        let fingerprint = told.fingerprint;
-        let left_ms = told.left_ms.min(LONGEST_SPAN_MS);
-        let speaks = |crash: &&CrashId| !self.clearings.hold(fingerprint, **crash);
-        let crashes: Vec<CrashId> = told.crashes.iter().filter(speaks).copied().collect();
-        let rests = match told.crashes.is_empty() {
-            true => !self.clearings.know(fingerprint),
-            false => crashes.len() >= FEWEST_CRASHES,
+    /// Applies the news that a request is quarantined; returns whether it was new. Crashes of which the
+    /// request was cleared do not count, so that a node that has not learned of the clearing cannot
+    /// restore the quarantine.
+    pub fn note_quarantined(&mut self, reported: &QuarantineEntry, now: Millis) -> bool {
+        let fingerprint = reported.fingerprint;
+        let left_ms = reported.left_ms.min(MAX_QUARANTINE_MS);
+        let counts = |crash: &&CrashId| !self.clearings.covers(fingerprint, **crash);
+        let crashes: Vec<CrashId> = reported.crashes.iter().filter(counts).copied().collect();
+        let has_evidence = match reported.crashes.is_empty() {
+            true => !self.clearings.contains(fingerprint),
+            false => crashes.len() >= MIN_EVIDENCE,
         };
-        if left_ms == 0 || !rests {
+        if left_ms == 0 || !has_evidence {
             return false;
         }
-        let held = self.entries.get_mut(&fingerprint);
-        if let Some(entry) = held.filter(|entry| entry.holds(now)) {
-            entry.rest_on(&crashes);
+        let entry = self.entries.get_mut(&fingerprint);
+        if let Some(entry) = entry.filter(|entry| entry.is_active(now)) {
+            entry.add_evidence(&crashes);
             return false;
         }
-        let former = self.entries.remove(&fingerprint);
-        let (until, span_ms) = (now + left_ms, left_ms.max(FIRST_SPAN_MS));
-        let named = former.map(|entry| entry.crashes).unwrap_or_default();
-        let mut entry = Entry { crashes: named, until, span_ms };
-        entry.rest_on(&crashes);
+        let previous = self.entries.remove(&fingerprint);
+        let (until, duration_ms) = (now + left_ms, left_ms.max(INITIAL_QUARANTINE_MS));
+        let evidence = previous.map(|entry| entry.crashes).unwrap_or_default();
+        let mut entry = Entry { crashes: evidence, until, duration_ms };
+        entry.add_evidence(&crashes);
         self.suspects.remove(&fingerprint);
         self.insert(fingerprint, entry);
         true
     }
 
-    /// Takes in that an upstream ran a request and did not end, or that an operator says so: nothing
-    /// that is known here speaks against it any more. `None` if nothing was held against it.
+    /// Clears a request because an upstream survived processing it or an operator asked for it. All
+    /// evidence known to this node is dropped; returns `None` if there was none.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Millis) -> Option<Clearing> {
         let suspected = self.suspects.remove(&fingerprint);
         let entry = self.entries.remove(&fingerprint);
@@ -265,28 +285,31 @@
         Some(clearing)
     }
 
-    /// Takes in word that a request was cleared elsewhere; returns whether that is new, also if nothing
-    /// was held against it here: word of its quarantine may be on its way.
+    /// Applies the news that a request was cleared elsewhere; returns whether it was new. It can be new
+    /// even without evidence against the request here, because news of its quarantine may still be in
+    /// transit.
     pub fn note_cleared(&mut self, clearing: &Clearing, at: Millis) -> bool {
         let is_new = self.clearings.note(clearing, at);
         self.release(clearing.fingerprint);
         is_new
     }
 
-    /// Forgets the crashes that speak against a request no more. It leaves quarantine unless enough
-    /// others are left, and is a suspect of those.
+    /// Drops the crashes of which a request was cleared. If too few are left for a quarantine, the request
+    /// is released and remains a suspect in those.
     fn release(&mut self, fingerprint: Fingerprint) {
         let Self { clearings, crashes, suspects, entries, .. } = self;
-        let cleared = |id: CrashId| clearings.hold(fingerprint, id);
+        let cleared = |id: CrashId| clearings.covers(fingerprint, id);
         if let Some(numbers) = suspects.get_mut(&fingerprint) {
             numbers.retain(|number| crashes.get(number).is_some_and(|crash| !cleared(crash.id)));
         }
         if let Some(entry) = entries.get_mut(&fingerprint) {
             entry.crashes.retain(|id| !cleared(*id));
-            if entry.crashes.len() < FEWEST_CRASHES {
-                let left = std::mem::take(&mut entry.crashes);
+            if entry.crashes.len() < MIN_EVIDENCE {
+                let remaining = std::mem::take(&mut entry.crashes);
                 entries.remove(&fingerprint);
-                for (number, crash) in crashes.iter_mut().filter(|(_, it)| left.contains(&it.id)) {
+                for (number, crash) in
+                    crashes.iter_mut().filter(|(_, crash)| remaining.contains(&crash.id))
+                {
                     crash.explained = false;
                     suspects.entry(fingerprint).or_default().insert(*number);
                 }
@@ -297,30 +320,31 @@
         }
     }
 
-    /// What requests were cleared of, and when.
+    /// Returns the remembered clearings and their times.
     pub fn clearings(&self) -> impl Iterator<Item = (Millis, Clearing)> + '_ {
         self.clearings.all()
     }
 
-    /// The newest two crashes that the quarantine of a request rests on; zeros if it is in none, or they
-    /// were not told.
-    pub fn newest_crashes(&self, fingerprint: Fingerprint) -> [CrashId; FEWEST_CRASHES] {
+    /// Returns the newest two crashes that are evidence for the quarantine of a request; zeros if it is
+    /// not quarantined or the crashes were not reported.
+    pub fn newest_crashes(&self, fingerprint: Fingerprint) -> [CrashId; MIN_EVIDENCE] {
         let crashes = self.entries.get(&fingerprint).map_or(&[][..], |entry| &entry.crashes);
         crashes.last_chunk().copied().unwrap_or_default()
     }
 
-    /// Requests that are kept from upstreams now.
+    /// Returns the requests that are currently quarantined.
     pub fn entries(&self, now: Millis) -> Vec<QuarantineEntry> {
-        let held = self.entries.iter().filter(|(_, entry)| entry.holds(now));
-        held.map(|(fingerprint, entry)| QuarantineEntry {
-            fingerprint: *fingerprint,
-            crashes: entry.crashes.clone(),
-            left_ms: entry.until - now,
-        })
-        .collect()
+        let active = self.entries.iter().filter(|(_, entry)| entry.is_active(now));
+        active
+            .map(|(fingerprint, entry)| QuarantineEntry {
+                fingerprint: *fingerprint,
+                crashes: entry.crashes.clone(),
+                left_ms: entry.until - now,
+            })
+            .collect()
     }
 
-    /// Requests that ran in a crash that nothing explains.
+    /// Returns the number of suspects.
     pub fn suspects(&self, now: Millis) -> usize {
         let known = self.suspects.keys().chain(self.entries.keys());
         known
@@ -328,23 +352,23 @@
             .count()
     }
 
-    /// Forgets what is too old to tell anything.
+    /// Drops expired entries.
     pub fn expire(&mut self, now: Millis) {
-        self.entries.retain(|_, entry| entry.holds(now) || entry.is_on_probation(now));
+        self.entries.retain(|_, entry| entry.is_active(now) || entry.is_on_probation(now));
         self.clearings.expire(now);
-        let old = |crash: &Crash| crash.at + CRASH_RETENTION_MS <= now;
-        while self.crashes.first_key_value().is_some_and(|(_, crash)| old(crash)) {
-            self.forget_first_crash();
+        let is_expired = |crash: &Crash| crash.at + CRASH_RETENTION_MS <= now;
+        while self.crashes.first_key_value().is_some_and(|(_, crash)| is_expired(crash)) {
+            self.remove_oldest_crash();
         }
     }
 
-    fn bound_crashes(&mut self) {
-        while self.crashes.len() > MOST_CRASHES {
-            self.forget_first_crash();
+    fn evict_oldest_crashes(&mut self) {
+        while self.crashes.len() > MAX_CRASHES {
+            self.remove_oldest_crash();
         }
     }
 
-    fn forget_first_crash(&mut self) {
+    fn remove_oldest_crash(&mut self) {
         let Some((id, _)) = self.crashes.pop_first() else {
             return;
         };
--- a/crates/quarantine/src/recent.rs
+++ b/crates/quarantine/src/recent.rs
@@ -1,17 +1,18 @@
-//! Requests that ran well a moment ago, which speaks for them when an upstream ends.
+//! Recently successful requests, which are not suspected when an upstream crashes.
 
 use crate::Millis;
 use mesh::Fingerprint;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a good run speaks for a request, milliseconds. Without it, a rack that fails would put
-/// the one path that all callers ask for in quarantine; much longer, and a request that became
-/// poison by a change of data would be trusted for as long.
+/// How long a request is trusted after a success, milliseconds. Without this, a rack failure would
+/// quarantine a path that all callers request. If it were much longer, a request that became poison
+/// through a change of data would be trusted for that long.
 const TRUSTED_MS: u64 = 5_000;
-/// Most runs remembered; at 280 calls a second of one upstream, those of two seconds.
-const MOST_RUNS: usize = 512;
+/// Maximum number of remembered successes; at 280 calls per second for one upstream, those of two
+/// seconds.
+const MAX_SUCCESSES: usize = 512;
 
-/// The newest good runs of one node's upstream.
+/// Recent successes at the upstream of one node.
 #[derive(Clone, Debug, Default)]
 pub struct RecentSuccesses {
     newest: BTreeMap<Fingerprint, Millis>,
@@ -19,16 +20,16 @@
 }
 
 impl RecentSuccesses {
-    /// Takes in a good run.
+    /// Records a success.
     pub fn note(&mut self, fingerprint: Fingerprint, now: Millis) {
         self.newest.insert(fingerprint, now);
         self.order.push_back((fingerprint, now));
-        if self.order.len() > MOST_RUNS {
-            self.forget_oldest();
+        if self.order.len() > MAX_SUCCESSES {
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some((fingerprint, at)) = self.order.pop_front() else {
             return;
         };
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Whether a request ran well a moment ago.
+    /// Whether a request succeeded recently.
     pub fn contains(&self, fingerprint: Fingerprint, now: Millis) -> bool {
         self.newest.get(&fingerprint).is_some_and(|at| now < at + TRUSTED_MS)
     }
--- a/crates/quarantine/tests/identity.rs
+++ b/crates/quarantine/tests/identity.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Tests of request fingerprints.
 
 use quarantine::RequestIdentity;
 
@@ -18,7 +18,7 @@
         RequestIdentity { target: "/fares/7?zone=3", ..BASE },
         RequestIdentity { host: "other.example", ..BASE },
         RequestIdentity { body: b"x", ..BASE },
-        // The same bytes with another border between them.
+        // The same bytes with a different boundary between the parts.
         RequestIdentity { method: "GET/", target: "fares/7?zone=2", ..BASE },
     ];
     assert_eq!(BASE.fingerprint(), BASE.fingerprint());
@@ -30,14 +30,14 @@
 #[test]
 fn long_bodies_are_told_apart_by_length_and_both_ends() {
     let body = vec![7_u8; 100_000];
-    let named = |body: &[u8]| RequestIdentity { body, ..BASE }.fingerprint();
-    let changed = |place: usize| {
+    let fingerprint = |body: &[u8]| RequestIdentity { body, ..BASE }.fingerprint();
+    let changed = |index: usize| {
         let mut other = body.clone();
-        other[place] = 8;
-        named(&other)
+        other[index] = 8;
+        fingerprint(&other)
     };
-    assert_ne!(named(&body[1..]), named(&body));
-    assert_ne!(changed(0), named(&body));
-    assert_ne!(changed(99_999), named(&body));
-    assert_eq!(changed(50_000), named(&body), "the middle of a long body is not looked at");
+    assert_ne!(fingerprint(&body[1..]), fingerprint(&body));
+    assert_ne!(changed(0), fingerprint(&body));
+    assert_ne!(changed(99_999), fingerprint(&body));
+    assert_eq!(changed(50_000), fingerprint(&body), "the middle of a long body is not hashed");
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which request is blamed for the end of upstreams.
+//! Tests of `Quarantine`: which request is blamed for upstream crashes.
 
 use expect_test::expect;
 use mesh::{Clearing, CrashId, CrashReport, Fingerprint, NodeAddress, QuarantineEntry};
@@ -19,32 +19,32 @@
     quarantine.status(Fingerprint(request), now) == RequestStatus::Suspect
 }
 
-fn is_kept_away(quarantine: &Quarantine, request: u64, now: u64) -> bool {
+fn is_quarantined(quarantine: &Quarantine, request: u64, now: u64) -> bool {
     matches!(quarantine.status(Fingerprint(request), now), RequestStatus::Quarantined { .. })
 }
 
-fn shown(verdict: &Verdict) -> String {
+fn describe(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Known => "known".to_owned(),
         Verdict::Suspects(count) => format!("{count} suspects"),
         Verdict::Explained(fingerprint) => format!("explained by {}", fingerprint.0),
         Verdict::Quarantined(entries) => {
-            let shown = |entry: &QuarantineEntry| {
+            let describe_entry = |entry: &QuarantineEntry| {
                 let QuarantineEntry { fingerprint, crashes, left_ms } = entry;
                 let crashes = crashes.len();
                 format!("{} after {crashes} crashes, for {left_ms} ms", fingerprint.0)
             };
-            entries.iter().map(shown).collect::<Vec<_>>().join("; ")
+            entries.iter().map(describe_entry).collect::<Vec<_>>().join("; ")
         }
     }
 }
 
-/// What each crash came to, one line each.
-fn judged(crashes: &[(&str, &[u64])]) -> String {
+/// Returns the verdict of each crash, one per line.
+fn verdicts(crashes: &[(&str, &[u64])]) -> String {
     let mut quarantine = Quarantine::default();
     let judge = |(at, (instance, running)): (usize, &(&str, &[u64]))| {
         let report = report(instance, running.iter().copied());
-        shown(&quarantine.note_crash(&report, at as u64 * 1_000))
+        describe(&quarantine.note_crash(&report, at as u64 * 1_000))
     };
     crashes.iter().enumerate().map(judge).collect::<Vec<_>>().join("\n")
 }
@@ -55,7 +55,7 @@
         4 suspects
         999 after 2 crashes, for 60000 ms
         explained by 999"#]]
-    .assert_eq(&judged(&[
+    .assert_eq(&verdicts(&[
         ("i-1", &[1, 2, 3, POISON]),
         ("i-2", &[4, 5, POISON]),
         ("i-3", &[6, POISON]),
@@ -68,7 +68,7 @@
         2 suspects
         known
         known"#]]
-    .assert_eq(&judged(&[("i-1", &[1, POISON]), ("i-1", &[1, POISON]), ("i-1", &[POISON])]));
+    .assert_eq(&verdicts(&[("i-1", &[1, POISON]), ("i-1", &[1, POISON]), ("i-1", &[POISON])]));
 }
 
 #[test]
@@ -77,7 +77,7 @@
         3 suspects
         3 suspects
         999 after 3 crashes, for 60000 ms"#]]
-    .assert_eq(&judged(&[
+    .assert_eq(&verdicts(&[
         ("i-1", &[1, 2, POISON]),
         ("i-2", &[1, 2, POISON]),
         ("i-3", &[7, POISON]),
@@ -86,7 +86,7 @@
         2 suspects
         2 suspects
         1 after 3 crashes, for 60000 ms; 999 after 3 crashes, for 60000 ms"#]]
-    .assert_eq(&judged(&[("i-1", &[1, POISON]), ("i-2", &[1, POISON]), ("i-3", &[1, POISON])]));
+    .assert_eq(&verdicts(&[("i-1", &[1, POISON]), ("i-2", &[1, POISON]), ("i-3", &[1, POISON])]));
 }
 
 #[test]
@@ -109,18 +109,19 @@
     quarantine.note_crash(&report("i-2", [3, POISON]), 20);
     let suspects = (1..=9).filter(|request| is_suspect(&quarantine, *request, 30));
     assert_eq!(suspects.collect::<Vec<u64>>(), [8, 9], "the crash of i-9 is not explained");
-    assert!(is_kept_away(&quarantine, POISON, 30));
+    assert!(is_quarantined(&quarantine, POISON, 30));
 }
 
 #[test]
 fn should_the_wrong_one_be_blamed_the_right_one_is_known_by_its_next_crash() {
     let mut quarantine = Quarantine::default();
-    // A machine lost power under 1; it runs again elsewhere, beside the poison.
+    // A machine that processed request 1 lost power. The request then runs on another one together with
+    // the poison.
     quarantine.note_crash(&report("i-1", [1, 2]), 0);
     quarantine.note_crash(&report("i-2", [1, POISON, 5]), 100);
-    assert!(is_kept_away(&quarantine, 1, 200) && !is_kept_away(&quarantine, POISON, 200));
+    assert!(is_quarantined(&quarantine, 1, 200) && !is_quarantined(&quarantine, POISON, 200));
     quarantine.note_crash(&report("i-3", [POISON, 6]), 300);
-    assert!(is_kept_away(&quarantine, POISON, 400));
+    assert!(is_quarantined(&quarantine, POISON, 400));
 }
 
 #[test]
@@ -128,10 +129,10 @@
     let mut quarantine = Quarantine::default();
     quarantine.note_crash(&report("i-1", [1, 2]), 0);
     assert!(quarantine.clear(Fingerprint(1), 0).is_some());
-    assert!(quarantine.clear(Fingerprint(1), 0).is_none(), "nothing is left against it");
+    assert!(quarantine.clear(Fingerprint(1), 0).is_none(), "there is no evidence left against it");
     assert_eq!(quarantine.note_crash(&report("i-2", [1, 3]), 10), Verdict::Suspects(2));
     quarantine.note_crash(&report("i-3", [2, 4]), 20);
-    assert!(is_kept_away(&quarantine, 2, 30));
+    assert!(is_quarantined(&quarantine, 2, 30));
     assert!(quarantine.clear(Fingerprint(2), 0).is_some());
     assert_eq!(quarantine.status(Fingerprint(2), 30), RequestStatus::Clear);
 }
@@ -141,10 +142,10 @@
     let mut quarantine = Quarantine::default();
     quarantine.note_crash(&report("i-1", [POISON]), 0);
     quarantine.note_crash(&report("i-2", [POISON]), 0);
-    assert!(is_kept_away(&quarantine, POISON, MINUTE - 1));
-    assert!(is_suspect(&quarantine, POISON, MINUTE), "one at a time");
+    assert!(is_quarantined(&quarantine, POISON, MINUTE - 1));
+    assert!(is_suspect(&quarantine, POISON, MINUTE), "it is a suspect again");
     let verdict = quarantine.note_crash(&report("i-3", [1, 2, POISON]), MINUTE + 5);
-    expect!["999 after 3 crashes, for 120000 ms"].assert_eq(&shown(&verdict));
+    expect!["999 after 3 crashes, for 120000 ms"].assert_eq(&describe(&verdict));
     let mut now = MINUTE + 5;
     let mut crashes = 0;
     while now < 24 * 60 * MINUTE {
@@ -156,7 +157,7 @@
         };
         now += left_ms;
     }
-    assert!(crashes <= 30, "a day of repeats costs {crashes} upstreams");
+    assert!(crashes <= 30, "a day of repeats crashes {crashes} upstreams");
 }
 
 #[test]
@@ -181,7 +182,7 @@
         }
     }
     assert_eq!(quarantine.entries(5_000).len(), 1_024);
-    assert!(is_kept_away(&quarantine, 4_999, 5_000), "the newest stay");
+    assert!(is_quarantined(&quarantine, 4_999, 5_000), "the newest stay");
     assert!(quarantine.suspects(5_000) <= 512);
     let flood = report("i-flood", 0..100_000);
     quarantine.note_crash(&flood, 5_000);
@@ -191,14 +192,17 @@
 #[test]
 fn a_node_that_forgot_all_is_told_of_those_in_quarantine() {
     let mut quarantine = Quarantine::default();
-    let told = entry(&["i-1", "i-2"], 30_000);
-    assert!(quarantine.note_quarantined(&told, 100));
-    assert!(!quarantine.note_quarantined(&told, 200), "it is known");
+    let reported = quarantine_of(&["i-1", "i-2"], 30_000);
+    assert!(quarantine.note_quarantined(&reported, 100));
+    assert!(!quarantine.note_quarantined(&reported, 200), "it is already known");
     assert_eq!(quarantine.entries(10_100)[0].left_ms, 20_000);
     let endless =
-        QuarantineEntry { fingerprint: Fingerprint(5), ..entry(&["i-1", "i-2"], u64::MAX) };
+        QuarantineEntry { fingerprint: Fingerprint(5), ..quarantine_of(&["i-1", "i-2"], u64::MAX) };
     quarantine.note_quarantined(&endless, 100);
-    assert!(!is_kept_away(&quarantine, 5, 61 * MINUTE), "nobody can ask for more than an hour");
+    assert!(
+        !is_quarantined(&quarantine, 5, 61 * MINUTE),
+        "a report cannot quarantine it for more than an hour"
+    );
 }
 
 #[test]
@@ -212,13 +216,13 @@
     for request in 10..2_000 {
         recent.note(Fingerprint(request), 8_100);
     }
-    assert!(!recent.contains(Fingerprint(10), 8_200), "the oldest go first");
+    assert!(!recent.contains(Fingerprint(10), 8_200), "the oldest are dropped first");
     assert!(recent.contains(Fingerprint(1_999), 8_200));
 }
 
-/// A fleet in virtual time: requests run at upstreams of a service, poison among them, machines
-/// lose power. Whatever the seed: no upstream ends for a poison after its second crash, but for what
-/// ran already; and what is blamed by chance is little.
+/// Simulates a fleet in virtual time in which upstreams process requests, one of them poison, and
+/// machines lose power. Whatever the seed, the poison causes no crash after its second one (calls that
+/// are already running aside), and few other requests are blamed by chance.
 #[test]
 fn whatever_else_ends_poison_is_found_by_its_second_crash_and_few_others_are_blamed() {
     let (mut others, mut late, mut losses) = (0, 0, 0);
@@ -232,7 +236,7 @@
             let innocent = (0..17).map(|_| random.u64(1_000..2_000_000));
             let mut running: Vec<u64> = innocent.collect();
             if by_poison {
-                if is_kept_away(&quarantine, POISON, now) {
+                if is_quarantined(&quarantine, POISON, now) {
                     continue;
                 }
                 running.push(POISON);
@@ -246,7 +250,7 @@
         others += quarantine.entries(30_000).iter().filter(|it| it.fingerprint.0 != POISON).count();
     }
     assert_eq!(late, 0);
-    assert!(others * 50 <= losses, "{others} blamed by chance in {losses} losses of power");
+    assert!(others * 50 <= losses, "{others} blamed by chance in {losses} power losses");
 }
 
 #[test]
@@ -259,11 +263,11 @@
     };
     quarantine.note_crash(&here, 0);
     quarantine.note_crash(&there, 10);
-    assert!(is_kept_away(&quarantine, POISON, 20));
+    assert!(is_quarantined(&quarantine, POISON, 20));
 }
 
-/// Word of a quarantine that rests on the ends of some incarnations.
-fn entry(instances: &[&str], left_ms: u64) -> QuarantineEntry {
+/// Report of a quarantine based on the crashes of these instances.
+fn quarantine_of(instances: &[&str], left_ms: u64) -> QuarantineEntry {
     QuarantineEntry { fingerprint: Fingerprint(POISON), crashes: ids(instances), left_ms }
 }
 
@@ -279,30 +283,40 @@
 fn a_quarantine_that_was_cleared_does_not_come_back_by_who_has_not_heard() {
     let mut quarantine = Quarantine::default();
     let first = ["i-1", "i-2"];
-    assert!(quarantine.note_quarantined(&entry(&first, MINUTE), 1_000));
+    assert!(quarantine.note_quarantined(&quarantine_of(&first, MINUTE), 1_000));
     assert!(quarantine.note_cleared(&clearing(&first), 3_000));
-    // An upstream's sidecar still keeps the call away, and says for how long.
-    assert!(!quarantine.note_quarantined(&entry(&first, MINUTE - 2_500), 3_500));
-    assert!(!is_kept_away(&quarantine, POISON, 3_500));
-    // The same word over a link that took longer than a quarantine lasts.
-    assert!(!quarantine.note_quarantined(&entry(&first, MINUTE), 2 * MINUTE));
-    // One that ran at two ends after that is kept away again, and so it is told; at once, too.
-    assert!(quarantine.note_quarantined(&entry(&["i-3", "i-4"], MINUTE), 3_600));
-    assert!(is_kept_away(&quarantine, POISON, 30_000));
+    // A sidecar that has not received the clearing still rejects the request and reports the remaining
+    // time.
+    assert!(!quarantine.note_quarantined(&quarantine_of(&first, MINUTE - 2_500), 3_500));
+    assert!(!is_quarantined(&quarantine, POISON, 3_500));
+    // The same report, delayed by longer than the quarantine lasts.
+    assert!(!quarantine.note_quarantined(&quarantine_of(&first, MINUTE), 2 * MINUTE));
+    // Two later crashes quarantine the request again, even shortly after the clearing, and that report
+    // is accepted.
+    assert!(quarantine.note_quarantined(&quarantine_of(&["i-3", "i-4"], MINUTE), 3_600));
+    assert!(is_quarantined(&quarantine, POISON, 30_000));
     assert!(
         !quarantine.note_cleared(&clearing(&first), 31_000),
-        "word of the clearing comes again"
+        "the clearing arrives a second time"
+    );
+    assert!(
+        is_quarantined(&quarantine, POISON, 31_000),
+        "the clearing does not cover the second quarantine"
     );
-    assert!(is_kept_away(&quarantine, POISON, 31_000), "it does not mean this one");
 }
 
 #[test]
 fn word_of_a_clearing_may_come_before_word_of_the_quarantine() {
     let mut quarantine = Quarantine::default();
     let first = ["i-1", "i-2"];
-    assert!(quarantine.note_cleared(&clearing(&first), 3_000), "others may be told a quarantine");
-    assert!(!quarantine.note_quarantined(&entry(&first, MINUTE - 2_000), 3_100));
-    assert!(quarantine.note_quarantined(&entry(&["i-2", "i-3", "i-4"], MINUTE), 3_000 + MINUTE));
+    assert!(
+        quarantine.note_cleared(&clearing(&first), 3_000),
+        "other nodes may receive news of the quarantine"
+    );
+    assert!(!quarantine.note_quarantined(&quarantine_of(&first, MINUTE - 2_000), 3_100));
+    assert!(
+        quarantine.note_quarantined(&quarantine_of(&["i-2", "i-3", "i-4"], MINUTE), 3_000 + MINUTE)
+    );
 }
 
 #[test]
@@ -312,7 +326,10 @@
         quarantine.note_crash(&report(instance, [POISON]), 0);
     }
     assert!(quarantine.note_cleared(&clearing(&["i-1", "i-2"]), 100));
-    assert!(is_suspect(&quarantine, POISON, 100), "who cleared it had not heard of the third");
+    assert!(
+        is_suspect(&quarantine, POISON, 100),
+        "the node that cleared it did not know of the third crash"
+    );
     assert!(quarantine.note_cleared(&clearing(&["i-3"]), 200));
     assert_eq!(quarantine.status(Fingerprint(POISON), 200), RequestStatus::Clear);
 }
@@ -323,7 +340,10 @@
     quarantine.note_cleared(&clearing(&["i-1", "i-2"]), 0);
     for now in [2 * MINUTE, 59 * MINUTE, 119 * MINUTE] {
         quarantine.expire(now);
-        assert!(!quarantine.note_quarantined(&entry(&["i-1", "i-2"], 60 * MINUTE), now), "{now}");
+        assert!(
+            !quarantine.note_quarantined(&quarantine_of(&["i-1", "i-2"], 60 * MINUTE), now),
+            "{now}"
+        );
     }
     quarantine.expire(120 * MINUTE);
     assert_eq!(quarantine.clearings().count(), 0);
@@ -336,8 +356,8 @@
         let crashes = ids(&["i-1", "i-2"]);
         quarantine.note_cleared(&Clearing { fingerprint: Fingerprint(number), crashes }, number);
     }
-    let held: Vec<u64> = quarantine.clearings().map(|(at, _)| at).collect();
-    assert_eq!((held.len(), held.first()), (256, Some(&4_744)), "the newest stay");
+    let times: Vec<u64> = quarantine.clearings().map(|(at, _)| at).collect();
+    assert_eq!((times.len(), times.first()), (256, Some(&4_744)), "the newest stay");
 }
 
 #[test]
@@ -348,5 +368,8 @@
     assert!(quarantine.clear(Fingerprint(POISON), 0).is_some());
     quarantine.note_crash(&report("i-3", [POISON]), 1_000);
     quarantine.note_crash(&report("i-4", [POISON]), 1_100);
-    assert!(is_kept_away(&quarantine, POISON, 1_200), "its own judgement needs no word");
+    assert!(
+        is_quarantined(&quarantine, POISON, 1_200),
+        "the node quarantines it without a report from others"
+    );
 }
