--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -16,7 +16,7 @@
 
 /// Fraction of the drain time during which the gate still admits calls that are already in transit.
 const OPEN_FRACTION: f64 = 0.5;
-/// The end of the cold phase must move back by more than this before peers are told, milliseconds.
+/// The end of the cold phase must move back by more than this before peers are notified, milliseconds.
 /// Each heartbeat repeats the remaining time, and its transit time makes the value vary.
 const COLD_CHANGE_MS: u64 = 200;
 /// Maximum number of replaced incarnations that are remembered.
@@ -86,7 +86,7 @@
     }
 
     /// Applies a report by the upstream about itself. `sequence` orders the reports of an incarnation.
-    /// Returns whether other nodes need to be told.
+    /// Returns whether other nodes need to be notified.
     pub fn on_report(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) -> bool {
         let incarnation = record.incarnation();
         if self.is_retired(&incarnation) {
@@ -118,7 +118,7 @@
         self.advance(&incarnation, record.state, now) || slots_changed || cold_changed
     }
 
-    /// Records that an incarnation deregistered; returns whether other nodes need to be told.
+    /// Records that an incarnation deregistered; returns whether other nodes need to be notified.
     pub fn on_leave(&mut self, incarnation: &Incarnation, now: Millis) -> bool {
         self.advance(incarnation, InstanceState::Left, now)
     }
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -105,12 +105,12 @@
 
 #[test]
 fn what_a_run_waits_for_goes_before_all_new_work() {
-    let begun =
+    let nested =
         |job, rank, patience_ms| SlotRequest { begun: true, ..request(job, rank, patience_ms) };
     let mut admission = full();
     assert_eq!(admission.submit(request(10, 0, 900), 0), Decision::Wait);
-    assert_eq!(admission.submit(begun(11, 2, 900), 1), Decision::Wait);
-    assert_eq!(admission.submit(begun(12, 1, 900), 2), Decision::Wait);
+    assert_eq!(admission.submit(nested(11, 2, 900), 1), Decision::Wait);
+    assert_eq!(admission.submit(nested(12, 1, 900), 2), Decision::Wait);
     assert_eq!(next(&mut admission), Some(12), "nested calls are ordered by rank");
     assert_eq!(next(&mut admission), Some(11), "before new work of a higher priority");
     assert_eq!(next(&mut admission), Some(10));
@@ -123,11 +123,11 @@
         assert_eq!(admission.submit(request(job, 0, 900), 0), Decision::Wait);
     }
     // Two slots of 100 ms each: behind ten others a call would wait for 550 ms.
-    let begun = |job| SlotRequest { begun: true, ..request(job, 1, 60) };
+    let nested = |job| SlotRequest { begun: true, ..request(job, 1, 60) };
     assert!(admission.check_room(request(20, 1, 60), 0).is_err(), "new work is refused");
-    assert_eq!(admission.submit(begun(21), 0), Decision::Wait);
+    assert_eq!(admission.submit(nested(21), 0), Decision::Wait);
     assert!(
-        admission.check_room(begun(22), 0).is_err(),
+        admission.check_room(nested(22), 0).is_err(),
         "behind another nested call it would be late"
     );
 }
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -38,8 +38,8 @@
     }
     let urgent = SlotRequest { rank: 0, ..request(15, key("hot")) };
     assert_eq!(admission.submit(urgent, 2), Decision::Wait);
-    let begun = SlotRequest { begun: true, rank: 9, ..request(16, None) };
-    assert_eq!(admission.submit(begun, 2), Decision::Wait);
+    let nested = SlotRequest { begun: true, rank: 9, ..request(16, None) };
+    assert_eq!(admission.submit(nested, 2), Decision::Wait);
     let mut order = Vec::new();
     for _ in 0..7 {
         admission.release(None);
@@ -81,8 +81,8 @@
             Decision::Wait
         );
         assert_eq!(admission.expire(10), [job]);
-        let hurried = SlotRequest { patience_ms: 0, ..patient(job, "a") };
-        assert!(matches!(admission.submit(hurried, 20), Decision::Refuse { .. }));
+        let impatient = SlotRequest { patience_ms: 0, ..patient(job, "a") };
+        assert!(matches!(admission.submit(impatient, 20), Decision::Refuse { .. }));
     }
     for (job, tenant) in [(20, "b"), (21, "b"), (10, "a"), (11, "a")] {
         assert_eq!(admission.submit(patient(job, tenant), 30), Decision::Wait);
