--- a/crates/coordinator/src/autopilot.rs
+++ b/crates/coordinator/src/autopilot.rs
@@ -79,7 +79,7 @@
     fn remove_succeeded(&self, facts: &Facts) -> Option<Change> {
         let succeeded = |member: &MemberId| {
             let newer = |other: &MemberId| {
-                other != member && other.address() == member.address() && other.life() != 0
+                other != member && other.address() == member.address() && other.incarnation() != 0
             };
             let asks = self.joining.keys().any(newer);
             let learner =
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -130,8 +130,8 @@
                 | CoordinatorFrame::Records { .. }
                 | CoordinatorFrame::Loads { .. }
                 | CoordinatorFrame::Poison { .. }) => self.registry_loop.receive(frame),
-                CoordinatorFrame::CreditPull { member, lacks } => {
-                    self.quotas.pulled(member, &lacks)
+                CoordinatorFrame::CreditPull { member, missing } => {
+                    self.quotas.pulled(member, &missing)
                 }
                 CoordinatorFrame::CreditTransfer { member, credits: gifts } => {
                     self.quotas.given(member, &gifts)
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -57,17 +57,17 @@
         let now = self.clock.now_ms();
         let Answered { answer, pulls } = self.lock().pools.request(node, request, now);
         let member = self.group.own.0;
-        for (peer, lacks) in pulls {
-            let frame = CoordinatorFrame::CreditPull { member, lacks };
+        for (peer, missing) in pulls {
+            let frame = CoordinatorFrame::CreditPull { member, missing };
             self.transport.send(MemberId(peer), frame);
         }
         answer
     }
 
     /// Another coordinator lacks credit.
-    pub fn pulled(&self, peer: u64, lacks: &[CreditAmount]) {
+    pub fn pulled(&self, peer: u64, missing: &[CreditAmount]) {
         let now = self.clock.now_ms();
-        let gifts = self.lock().pools.give(lacks, now);
+        let gifts = self.lock().pools.give(missing, now);
         let frame = CoordinatorFrame::CreditTransfer { member: self.group.own.0, credits: gifts };
         self.transport.send(MemberId(peer), frame);
     }
--- a/crates/coordinator/src/runtime.rs
+++ b/crates/coordinator/src/runtime.rs
@@ -144,7 +144,7 @@
 ) -> Result<Replica<ConfigState>, StorageError> {
     let ticks = |milliseconds: u64| (milliseconds / settings.tick_ms).max(1) as u32;
     // Only a first start begins with members; anyone else learns them from the leader.
-    let initial = match own.life() {
+    let initial = match own.incarnation() {
         0 => {
             let seeds = settings.seeds.iter().map(|seed| MemberId::first_at(*seed.ip()).0);
             Membership::of_voters(seeds)
--- a/crates/coordinator/tests/autopilot.rs
+++ b/crates/coordinator/tests/autopilot.rs
@@ -112,6 +112,6 @@
     let mut random = fastrand::Rng::with_seed(1);
     let (own, other) = (Ipv4Addr::new(10, 0, 0, 1), Ipv4Addr::new(10, 0, 0, 2));
     assert_eq!(choose_member(own, &[own, other], true, &mut random), at(1, 0));
-    assert_ne!(choose_member(own, &[own, other], false, &mut random).life(), 0);
-    assert_ne!(choose_member(own, &[other], true, &mut random).life(), 0);
+    assert_ne!(choose_member(own, &[own, other], false, &mut random).incarnation(), 0);
+    assert_ne!(choose_member(own, &[other], true, &mut random).incarnation(), 0);
 }
--- a/crates/coordinator/tests/simulated_membership.rs
+++ b/crates/coordinator/tests/simulated_membership.rs
@@ -105,7 +105,7 @@
         let own = self.machines[index].address;
         if self.machines[index].disk.is_none() {
             let member = choose_member(own, &self.seeds, bootstrap, &mut self.random);
-            let membership = match member.life() {
+            let membership = match member.incarnation() {
                 0 => {
                     Membership::of_voters(self.seeds.iter().map(|seed| MemberId::first_at(*seed).0))
                 }
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -2,31 +2,31 @@
 
 use speedy::{LittleEndian, Readable, Writable};
 
-/// Longest frame, bytes.
+/// Maximum length of a frame's content, bytes.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 const LENGTH_BYTES: usize = 4;
 
-/// The frame cannot be read; the connection must be closed.
+/// A frame cannot be decoded; the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// Longer than [`MAX_FRAME_BYTES`].
     TooLong,
-    /// Not the expected message.
+    /// The content is not a message of the expected type.
     Undecodable,
 }
 
 impl std::fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(match self {
-            FrameError::TooLong => "a frame is longer than allowed",
-            FrameError::Undecodable => "a frame cannot be decoded",
+            FrameError::TooLong => "frame exceeds the maximum length",
+            FrameError::Undecodable => "frame content cannot be decoded",
         })
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Appends one message as a frame.
+/// Appends a message to `output` as one frame.
 pub fn encode_frame<T: Writable<LittleEndian>>(message: &T, output: &mut Vec<u8>) {
     let start = output.len();
     output.extend_from_slice(&[0; LENGTH_BYTES]);
@@ -35,7 +35,8 @@
     output[start..start + LENGTH_BYTES].copy_from_slice(&(encoded.len() as u32).to_le_bytes());
 }
 
-/// Reads the first message of a buffer with its length in bytes; `None` while it is not whole.
+/// Decodes the first frame of a buffer and returns it with its length in bytes, or `None` while the
+/// frame is incomplete.
 pub fn decode_frame<T>(input: &[u8]) -> Result<Option<(T, usize)>, FrameError>
 where
     T: for<'a> Readable<'a, LittleEndian>,
--- a/crates/mesh/src/hop.rs
+++ b/crates/mesh/src/hop.rs
@@ -1,97 +1,98 @@
-//! The header that a call carries between two sidecars, and back.
+//! Headers that two sidecars add to the requests and responses of a call.
 
 use crate::{CrashId, InstanceState};
 
-/// Name of the header, on requests and on answers.
+/// Name of the header that carries a [`HopRequest`] or a [`HopReply`].
 pub const HOP_HEADER: &str = "x-chutecove-hop";
-/// Name of the header on a `100 Continue` that says how many bytes more of an offered body may be
-/// sent. Without it, as sidecars of an earlier version answer, the whole body may.
+/// Header of a `100 Continue` response: the number of further bytes of an offered body that may be
+/// sent. Without it, as in responses of sidecars of an earlier version, the whole body may be sent.
 pub const GRANT_HEADER: &str = "x-chutecove-grant";
-/// Longest body that is sent without having been offered over any link, bytes.
-const MOST_UNASKED_BYTES: f64 = 8.0 * 1024.0;
-/// Longest time for which a body that was not offered occupies a link, milliseconds: that of the
-/// first kilobyte at 1 Mbit/s, where offers were first played (docs/design/0014).
-const MOST_UNASKED_MS: f64 = 8.0;
+/// Maximum size of a body that is sent without an offer (`Expect: 100-continue`), on any link, bytes.
+const MAX_UNOFFERED_BYTES: f64 = 8.0 * 1024.0;
+/// Maximum time for which a body sent without an offer occupies a link, milliseconds: the time of 1 kB
+/// at 1 Mbit/s, the link speed for which offers were first simulated (docs/design/0014).
+const MAX_UNOFFERED_MS: f64 = 8.0;
 
-/// Longest body that is sent without having been offered over a link that carries so many bytes a
-/// millisecond, bytes; `None` if its speed is not known.
+/// Maximum size of a body that is sent without an offer over a link of the given throughput, bytes.
+/// `None` means that the throughput is not known.
 pub fn max_unoffered_bytes(link_bytes_per_ms: Option<f64>) -> usize {
-    let carried = link_bytes_per_ms.map_or(MOST_UNASKED_BYTES, |rate| rate * MOST_UNASKED_MS);
-    carried.clamp(0.0, MOST_UNASKED_BYTES) as usize
+    let carried = link_bytes_per_ms.map_or(MAX_UNOFFERED_BYTES, |rate| rate * MAX_UNOFFERED_MS);
+    carried.clamp(0.0, MAX_UNOFFERED_BYTES) as usize
 }
 
-/// When a call left its sender, by the sender's own clock.
+/// Time at which a call left its sender, by the sender's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// Drawn by each sender at its start; tells clocks apart.
+    /// Random id of the clock, chosen at each start of the sender.
     pub clock: u32,
-    /// Milliseconds of that clock.
+    /// Milliseconds on that clock.
     pub at_ms: u64,
 }
 
-/// What the calling sidecar tells the one beside the upstream. As a header value: eleven
-/// words separated by blanks; the seventh is `-` for any instance, the last four may be missing.
+/// Metadata that the caller's sidecar sends to the upstream's sidecar. Encoded as a header value of
+/// eleven words separated by spaces; the seventh is `-` for any instance, the last four are optional.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HopRequest {
-    /// Time left for the whole call, milliseconds.
+    /// Remaining time of the whole call, milliseconds.
     pub deadline_ms: u64,
-    /// Longest useful wait for a slot, milliseconds.
+    /// Maximum time that the call may wait for a slot, milliseconds.
     pub patience_ms: u64,
-    /// Order among waiting calls; 0 goes first.
+    /// Priority among waiting calls; 0 is the highest.
     pub rank: u32,
-    /// Target latency of its route, milliseconds; of one rank, the shorter goes first.
+    /// Target latency of its route, milliseconds; within a rank, the lowest goes first.
     pub target_ms: u64,
-    /// Whether the call may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// Service that must run it.
+    /// Service that must execute it.
     pub service: String,
-    /// Incarnation that should run it.
+    /// Id of the instance that should execute it.
     pub instance: Option<String>,
-    /// When it left; not told by sidecars of an earlier version.
+    /// Departure time; absent from sidecars of an earlier version.
     pub departure: Option<Departure>,
-    /// Whether an upstream ended while it ran this call or one like it, so that it may crash the
-    /// next one, too. Sidecars of an earlier version neither tell nor heed it.
+    /// Whether an upstream crashed while it ran this call or an identical one, so that the call may crash
+    /// the next upstream as well. Sidecars of an earlier version neither set nor evaluate it.
     pub suspect: bool,
-    /// Whether a run that holds a slot elsewhere waits for it: refused, that run was in vain.
+    /// Whether an upstream call that holds a slot elsewhere waits for this one: a refusal would waste the
+    /// work that it has already done.
     pub begun: bool,
-    /// Whether another upstream had the call before: what its run asks for is asked for once more.
+    /// Whether the call was sent to another upstream before; the calls that it makes are then repeats.
     pub repeat: bool,
-    /// Whether another upstream has it now: a hedged second try.
+    /// Whether another upstream has it at the same time: a hedged second attempt.
     pub hedge: bool,
-    /// What the call takes at an upstream of usual pace, milliseconds; 0 if that is not known.
+    /// Service time of the call at an upstream of usual speed, milliseconds; 0 if not known.
     pub usual_ms: u32,
 }
 
-/// Letters of the last word of a request.
+// Flags in the tenth word of a request.
 const SUSPECT: char = 's';
 const BEGUN: char = 'b';
 const REPEAT: char = 'r';
 const HEDGE: char = 'h';
 
 impl HopRequest {
-    /// The header value.
+    /// Encodes the header value.
     pub fn encode(&self) -> String {
-        let marks = [
+        let flags = [
             (self.suspect, SUSPECT),
             (self.begun, BEGUN),
             (self.repeat, REPEAT),
             (self.hedge, HEDGE),
         ];
-        let mut marks: String =
-            marks.into_iter().filter(|(set, _)| *set).map(|(_, mark)| mark).collect();
-        let marked = !marks.is_empty() || self.usual_ms > 0;
+        let mut flags: String =
+            flags.into_iter().filter(|(set, _)| *set).map(|(_, flag)| flag).collect();
+        let has_flags = !flags.is_empty() || self.usual_ms > 0;
         let mut departure = match self.departure {
             Some(departure) => format!(" {:x} {}", departure.clock, departure.at_ms),
-            None if marked => " - -".to_owned(),
+            None if has_flags => " - -".to_owned(),
             None => String::new(),
         };
         if self.usual_ms > 0 {
-            let held = if marks.is_empty() { "-" } else { &marks };
-            marks = format!("{held} {}", self.usual_ms);
+            let letters = if flags.is_empty() { "-" } else { &flags };
+            flags = format!("{letters} {}", self.usual_ms);
         }
-        if marked {
+        if has_flags {
             departure.push(' ');
-            departure.push_str(&marks);
+            departure.push_str(&flags);
         }
         format!(
             "{} {} {} {} {} {} {}{departure}",
@@ -105,7 +106,7 @@
         )
     }
 
-    /// Reads the header value.
+    /// Decodes a header value; `None` if it is malformed.
     pub fn decode(text: &str) -> Option<HopRequest> {
         let mut words = text.split(' ');
         let request = HopRequest {
@@ -123,14 +124,14 @@
             hedge: false,
             usual_ms: 0,
         };
-        let marks = words.next().unwrap_or_default();
+        let flags = words.next().unwrap_or_default();
         let usual_ms = words.next().and_then(|word| word.parse().ok()).unwrap_or(0);
         Some(HopRequest {
             usual_ms,
-            suspect: marks.contains(SUSPECT),
-            begun: marks.contains(BEGUN),
-            repeat: marks.contains(REPEAT),
-            hedge: marks.contains(HEDGE),
+            suspect: flags.contains(SUSPECT),
+            begun: flags.contains(BEGUN),
+            repeat: flags.contains(REPEAT),
+            hedge: flags.contains(HEDGE),
             ..request
         })
     }
@@ -142,71 +143,70 @@
     Some(Departure { clock, at_ms })
 }
 
-/// What became of a call at the sidecar beside the upstream.
+/// Outcome of a call at the upstream's sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HopOutcome {
-    /// The upstream answered; the answer is the upstream's own.
+    /// The upstream responded; the response is the upstream's own.
     Answered,
-    /// It was never given to the upstream, and never will be.
+    /// The call was not forwarded to the upstream and will not be.
     Refused,
-    /// The upstream said that it did not run it.
+    /// The upstream stated that it did not execute the call.
     Rejected,
-    /// It was given to the upstream, which did not answer it properly.
+    /// The call was forwarded to the upstream, which did not return a valid response.
     Unknown,
 }
 
-/// What the sidecar beside the upstream tells with every answer. As a header value: the outcome
-/// and eighteen numbers or words separated by blanks; the last eleven may be missing. For a call in
-/// quarantine, two hexadecimal numbers follow that name the ends of upstreams.
+/// Metadata that the upstream's sidecar adds to every response. Encoded as a header value of the
+/// outcome and eighteen numbers or words separated by spaces; the last eleven are optional. For a call in
+/// quarantine, the ids of two crashes follow as hexadecimal numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HopReply {
-    /// What became of the call.
+    /// Outcome of the call.
     pub outcome: HopOutcome,
-    /// Calls the upstream works on.
+    /// Calls that the upstream is executing.
     pub running: u32,
-    /// Calls waiting for it.
+    /// Calls that wait for the upstream.
     pub queued: u32,
-    /// Most it is given at once.
+    /// Maximum number of concurrent calls to the upstream.
     pub limit: u32,
-    /// Recent time from giving a call to its answer, milliseconds.
+    /// Recent time from forwarding a call to its response, milliseconds.
     pub service_ms: u32,
-    /// Time this call spent with the upstream, milliseconds.
+    /// Time that this call spent at the upstream, milliseconds.
     pub spent_ms: u32,
-    /// When a slot is likely free, milliseconds; for refusals.
+    /// Expected time until a slot is free, milliseconds; set on refusals.
     pub retry_after_ms: u32,
-    /// State of the upstream; `Left` also when there is none.
+    /// State of the upstream; `Left` if there is none.
     pub state: InstanceState,
-    /// Share of recent calls that the upstream failed, percent.
+    /// Failure rate of recent calls at the upstream, percent.
     pub failing_percent: u32,
-    /// Part of its machine's link that is in use, percent; 0 if that is not known.
+    /// Utilization of its machine's network link, percent; 0 if not known.
     pub link_percent: u32,
-    /// How long a body offered now would wait for its machine's link, milliseconds.
+    /// Expected wait of a body offered now for its machine's link, milliseconds.
     pub transfer_wait_ms: u32,
-    /// What its machine's link brings of bodies, bytes a millisecond; 0 if that is not known.
+    /// Throughput of request bodies on its machine's link, bytes per millisecond; 0 if not known.
     pub transfer_bytes_per_ms: u32,
-    /// Whether the upstream ended while it ran the call.
+    /// Whether the upstream exited while it was executing the call.
     pub upstream_ended: bool,
-    /// How much longer a call is kept from all upstreams, since it crashes them, milliseconds; 0 if
-    /// it is not.
+    /// Remaining time for which the call is not forwarded to any upstream because it crashes them,
+    /// milliseconds; 0 if it is not in quarantine.
     pub quarantine_left_ms: u32,
-    /// Two ends of upstreams that this rests on; zeros if they are not known.
+    /// Two crashes that justify the quarantine; zeros if not known.
     pub quarantine_crashes: [CrashId; 2],
-    /// How long a large answer would wait for its machine's link, milliseconds.
+    /// Expected wait of a large response for its machine's link, milliseconds.
     pub egress_wait_ms: u32,
-    /// What its machine's link carries of large answers, bytes a millisecond; 0 if that is not
-    /// known.
+    /// Throughput of large responses on its machine's link, bytes per millisecond; 0 if not known.
     pub egress_bytes_per_ms: u32,
-    /// Whether a refusal is for want of room on that link, and not of a slot.
+    /// Whether a refusal is due to lack of capacity on that link rather than lack of a slot.
     pub link_full: bool,
-    /// How long work takes at the upstream now, percent of what is usual at its service; 0 if that is
-    /// not known.
+    /// Current service time of the upstream, percent of the usual service time of its service; 0 if not
+    /// known.
     pub pace_percent: u32,
-    /// What the upstream itself tells of that, percent; 0 if it tells nothing.
+    /// The same as reported by the upstream itself, percent; 0 if not reported.
     pub told_pace_percent: u32,
 }
 
 impl HopReply {
-    /// The header value.
+    /// Encodes the header value.
     pub fn encode(&self) -> String {
         let outcome = match self.outcome {
             HopOutcome::Answered => 'a',
@@ -245,7 +245,7 @@
         )
     }
 
-    /// Reads the header value.
+    /// Decodes a header value; `None` if it is malformed.
     pub fn decode(text: &str) -> Option<HopReply> {
         let mut words = text.split(' ');
         let outcome = match words.next()? {
@@ -264,15 +264,15 @@
             "l" => InstanceState::Left,
             _ => return None,
         };
-        // Sidecars of an earlier version do not tell these.
-        let mut later = || words.next().and_then(|word| word.parse().ok()).unwrap_or(0);
-        let (failing_percent, link_percent) = (later(), later());
-        let (transfer_wait_ms, transfer_bytes_per_ms) = (later(), later());
-        let upstream_ended = later() == 1;
-        let quarantine_left_ms = later();
-        let (egress_wait_ms, egress_bytes_per_ms) = (later(), later());
-        let link_full = later() == 1;
-        let (pace_percent, told_pace_percent) = (later(), later());
+        // Absent from sidecars of an earlier version.
+        let mut optional = || words.next().and_then(|word| word.parse().ok()).unwrap_or(0);
+        let (failing_percent, link_percent) = (optional(), optional());
+        let (transfer_wait_ms, transfer_bytes_per_ms) = (optional(), optional());
+        let upstream_ended = optional() == 1;
+        let quarantine_left_ms = optional();
+        let (egress_wait_ms, egress_bytes_per_ms) = (optional(), optional());
+        let link_full = optional() == 1;
+        let (pace_percent, told_pace_percent) = (optional(), optional());
         let mut crash = || {
             let number = words.next().and_then(|word| u64::from_str_radix(word, 16).ok());
             CrashId(number.unwrap_or(0))
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,7 +1,7 @@
-//! What sidecars, coordinators and the peers of a call tell each other.
+//! Messages that sidecars and coordinators exchange, and the headers of calls between sidecars.
 //!
 //! Sidecars and coordinators exchange `speedy` frames (length-prefixed, see [`encode_frame`]);
-//! a call between two sidecars is HTTP/1.1 with one more header, see [`HopRequest`].
+//! a call between two sidecars is HTTP/1.1 with an additional header, see [`HopRequest`].
 #![forbid(unsafe_code)]
 
 mod frame;
--- a/crates/mesh/src/link.rs
+++ b/crates/mesh/src/link.rs
@@ -1,4 +1,4 @@
-//! Frames between coordinators and sidecars.
+//! Frames that coordinators and sidecars exchange.
 
 use crate::{
     CreditAmount, CreditAnswer, CreditRequest, HeardNode, NodeAddress, NodeLoad, NodeRecord,
@@ -9,36 +9,36 @@
 use speedy::{Readable, Writable};
 use std::net::Ipv4Addr;
 
-/// Version of all frames; two processes of different versions refuse each other.
+/// Protocol version of all frames; processes of different versions refuse each other's connections.
 pub const PROTOCOL_VERSION: u16 = 8;
 
-/// Where a coordinator is.
+/// Location of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MemberLocation {
     /// Its address.
     pub address: Ipv4Addr,
-    /// Its zone; empty while that is not known, or if its settings name none.
+    /// Its zone; empty while unknown, or if none is configured.
     pub zone: String,
 }
 
-/// What a connection to a coordinator is for.
+/// Purpose of a connection to a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum Purpose {
-    /// Frames from one coordinator to another, one way.
+    /// Carries frames from one coordinator to another, in one direction.
     Coordinator,
-    /// A sidecar's link.
+    /// The link of a sidecar.
     Sidecar,
 }
 
 /// First frame on every connection to a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Greeting {
-    /// Sender's [`PROTOCOL_VERSION`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub protocol: u16,
     /// Name of the fleet.
     pub fleet: String,
-    /// What for.
+    /// Purpose of the connection.
     pub purpose: Purpose,
 }
 
@@ -46,96 +46,98 @@
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum CoordinatorFrame {
-    /// A message of the consensus group.
+    /// A message of the consensus protocol.
     Message(Message),
-    /// A member that is not part of the group asks to be added; repeated until it is.
+    /// A coordinator that is not in the group asks to be added; repeated until it is.
     Join {
-        /// Its id.
+        /// Its member id.
         member: u64,
     },
-    /// The receiver is no part of the group any more.
+    /// The receiver is no longer in the group.
     Removed {
         /// The id that was removed.
         member: u64,
     },
-    /// Up to which position the sender's list of sidecars that it hears holds; sent again and again.
+    /// Periodic heartbeat that states the position up to which the sender's list of directly connected
+    /// sidecars is valid.
     ListHeartbeat {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// Its zone; empty if its settings name none.
+        /// Its zone; empty if none is configured.
         zone: String,
-        /// Drawn by the sender at its start; tells positions of its lives apart.
+        /// Random number chosen at each start of the sender; positions of different epochs are unrelated.
         epoch: u64,
-        /// Position of the newest change of the list.
+        /// Position of the latest change of the list.
         position: u64,
     },
-    /// What changed in that list.
+    /// Changes of that list.
     ListChanges {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// As in [`CoordinatorFrame::ListHeartbeat`].
+        /// See [`CoordinatorFrame::ListHeartbeat`].
         epoch: u64,
-        /// Position after which it changed; 0 if this is the whole list.
+        /// Position that the changes follow; 0 if this is the complete list.
         since: u64,
-        /// Position of the newest change.
+        /// Position of the latest change.
         position: u64,
-        /// New or changed.
+        /// New or changed entries.
         heard: Vec<RegistryEntry>,
-        /// Not heard any more.
+        /// Sidecars that are no longer in the list.
         dropped: Vec<NodeAddress>,
     },
-    /// The sender lacks what changed in the receiver's list after a position.
+    /// Requests the changes of the receiver's list after a position.
     ListRequest {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// Epoch of the receiver's list as it is known; 0 if it is not.
+        /// Known epoch of the receiver's list; 0 if none is known.
         epoch: u64,
-        /// Position up to which it is known.
+        /// Position up to which the list is known.
         position: u64,
     },
-    /// The sender lacks the records of sidecars that the receiver hears.
+    /// Requests records of sidecars that are directly connected to the receiver.
     RecordsRequest {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// Which.
+        /// The sidecars.
         nodes: Vec<NodeAddress>,
     },
-    /// Sidecars that the sender hears itself.
+    /// Records of sidecars that are directly connected to the sender.
     Records {
-        /// Which, and when.
+        /// The records, with the time since each sidecar was last heard from.
         nodes: Vec<HeardNode>,
     },
-    /// Loads that the sender's own subscribers told and that changed of late.
+    /// Recently changed loads, as reported to the sender by sidecars that are linked to it.
     Loads {
-        /// One for each upstream.
+        /// One entry per upstream.
         loads: Vec<NodeLoad>,
     },
-    /// What a sidecar of the sender told of a canary; for the leader, which judges it.
+    /// Canary outcomes that a sidecar reported to the sender; for the leader, which evaluates the canary.
     Evidence {
         /// The sidecar.
         node: NodeAddress,
-        /// Its life.
+        /// Its boot id, see [`NodeRecord::boot_id`].
         boot_id: u64,
-        /// What it told.
+        /// The reported outcomes.
         evidence: VersionEvidence,
     },
-    /// What the sender's own sidecars told of requests that may crash upstreams.
+    /// Events of poison requests that the sender received from its own sidecars.
     Poison {
-        /// In the order in which they came.
+        /// In the order of arrival.
         notices: Vec<PoisonNotice>,
     },
-    /// The sender's pools of credits lack something; answered with what the receiver can spare.
+    /// Requests credits that the sender's pools lack; answered with the credits that the receiver can
+    /// spare.
     CreditPull {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// What they lack.
-        lacks: Vec<CreditAmount>,
+        /// Missing amounts by tenant.
+        missing: Vec<CreditAmount>,
     },
-    /// Credits that the sender took out of its pools for the receiver.
+    /// Credits that the sender moved from its pools to the receiver's.
     CreditTransfer {
-        /// Sender.
+        /// The sender.
         member: u64,
-        /// One for each tenant that was asked for; nothing where it cannot spare any.
+        /// One entry for each requested tenant; the amount is 0 where none can be spared.
         credits: Vec<CreditAmount>,
     },
 }
@@ -144,38 +146,38 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum ToCoordinator {
-    /// What the sidecar is; the first frame, and again after every change.
+    /// The sidecar's record; the first frame on a link, repeated after every change.
     Report(NodeRecord),
-    /// Asks for the newest configuration that the coordinator knows.
+    /// Requests the latest configuration known to the coordinator.
     ConfigRequest {
-        /// Digest of the content held.
+        /// Digest of the configuration that the sidecar has.
         held: Digest,
     },
-    /// Whether this coordinator should tell of the other sidecars; until asked, it does not.
+    /// Starts or stops updates about other sidecars; a coordinator sends none until asked.
     Subscribe {
-        /// True to be told, false to be told no more.
+        /// Whether to send updates.
         nodes: bool,
     },
-    /// How busy the upstream beside the sidecar is; told to the coordinator subscribed to.
+    /// Load of the sidecar's upstream; sent to the coordinator to which the sidecar is subscribed.
     Load(UpstreamLoad),
-    /// A generation was put in force.
+    /// The sidecar applied a generation.
     Applied {
-        /// Which.
+        /// The generation.
         generation: u64,
     },
-    /// The sidecar lives, and asks for the newest generation; answered at once.
+    /// Keepalive that also asks for the latest generation; answered immediately.
     Ping {
-        /// When it was sent, milliseconds of the sidecar's clock.
+        /// Send time, in milliseconds of the sidecar's clock.
         asked_at: u64,
     },
-    /// What became of the calls at the upstream since a canary of its service began.
+    /// Outcomes of calls at the upstream since a canary of its service began.
     Evidence(VersionEvidence),
-    /// What the sidecar knows of requests that may crash upstreams; told to all coordinators.
+    /// Events of poison requests known to the sidecar; sent to all linked coordinators.
     Poison {
-        /// In the order in which it came.
+        /// In the order of arrival.
         notices: Vec<PoisonNotice>,
     },
-    /// Asks for credits of tenants' quotas.
+    /// Requests credits of tenant quotas.
     Credits(CreditRequest),
 }
 
@@ -183,80 +185,80 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum ToSidecar {
-    /// First answer to the first report.
+    /// First response to the first report.
     Welcome {
-        /// Zone of the coordinator; empty if its settings name none.
+        /// Zone of the coordinator; empty if none is configured.
         zone: String,
-        /// What was last known of a sidecar at this address, from before this connection.
+        /// Last known record of an earlier process of the sidecar at this address.
         last: Option<NodeRecord>,
     },
-    /// Reports up to this sequence are known here.
+    /// Acknowledges reports up to a sequence number.
     ReportAcknowledged {
         /// Sequence of the report.
         sequence: u64,
     },
-    /// Where coordinators are.
+    /// Locations of the coordinators.
     Members {
-        /// All of them.
+        /// All members of the group.
         members: Vec<MemberLocation>,
     },
-    /// A generation is in force.
+    /// Announces that a generation is in force.
     Announce {
-        /// Which.
+        /// The generation.
         generation: u64,
     },
-    /// The newest configuration that the coordinator knows.
+    /// The latest configuration known to the coordinator.
     Config {
         /// Its generation; 0 if there is none yet.
         generation: u64,
-        /// Whether the coordinator hears of a leader. Without one it may be behind: the content is
-        /// put in force only once that generation is announced.
+        /// Whether the coordinator knows of a leader. Otherwise it may be outdated, and the sidecar applies
+        /// the content only after that generation is announced.
         confirmed: bool,
-        /// Its content, from what the sidecar said it holds.
+        /// Its content, relative to the configuration that the sidecar has.
         update: BundleUpdate,
     },
-    /// News of sidecars, for subscribers; `whole` replaces what this coordinator said before.
+    /// Changes of the list of sidecars, for subscribers.
     Nodes {
-        /// Whether nodes not listed are gone.
+        /// Whether this is the complete list, which replaces all earlier ones of this coordinator.
         whole: bool,
-        /// New or changed.
+        /// New or changed records.
         changed: Vec<NodeRecord>,
-        /// Gone.
+        /// Removed sidecars.
         gone: Vec<NodeAddress>,
     },
-    /// Loads that changed of late, for subscribers.
+    /// Recently changed loads, for subscribers.
     Loads {
-        /// One for each upstream.
+        /// One entry per upstream.
         loads: Vec<NodeLoad>,
     },
-    /// Answer to a ping.
+    /// Response to a ping.
     Pong {
-        /// As in the ping.
+        /// Copied from the ping.
         asked_at: u64,
-        /// The newest generation known here; 0 while this coordinator hears of no leader.
+        /// The latest generation known here; 0 while this coordinator knows of no leader.
         generation: u64,
     },
-    /// Which versions of upstreams may be given calls; replaces what any coordinator said before in
-    /// an older revision.
+    /// Which versions of upstreams may receive calls. Replaces any older revision, from whichever
+    /// coordinator it came.
     Versions {
-        /// Log position of the newest change.
+        /// Log position of the latest change.
         revision: u64,
-        /// One for each service that ever had a canary; all others take any version.
+        /// One entry for each service that ever had a canary; other services accept any version.
         policies: Vec<VersionPolicy>,
     },
-    /// The evacuated zones: their upstreams are given no calls. Replaces what any coordinator said
-    /// before in an older revision.
+    /// The evacuated zones, whose upstreams receive no calls. Replaces any older revision, from whichever
+    /// coordinator it came.
     Evacuations {
-        /// Log position of the newest change.
+        /// Log position of the latest change.
         revision: u64,
-        /// All of them.
+        /// All evacuated zones.
         zones: Vec<String>,
     },
-    /// News of requests that may crash upstreams, for subscribers.
+    /// Events of poison requests, for subscribers.
     Poison {
-        /// In the order in which they came.
+        /// In the order of arrival.
         notices: Vec<PoisonNotice>,
     },
-    /// Credits of tenants' quotas.
+    /// Response to a credit request.
     Credits(CreditAnswer),
 }
--- a/crates/mesh/src/poison.rs
+++ b/crates/mesh/src/poison.rs
@@ -1,10 +1,10 @@
-//! Requests that may crash their upstreams, as nodes tell each other of them.
+//! Poison requests, which may crash the upstreams that run them, as reported between nodes.
 
 use crate::NodeAddress;
 use speedy::{Readable, Writable};
 use std::fmt;
 
-/// Names a request by what upstreams see of it; the same on all nodes and for all its repeats.
+/// Identifies a request by the content that upstreams see; equal on all nodes and for all retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct Fingerprint(pub u64);
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// Names one end of an upstream; the same on all nodes.
+/// Identifies one crash of an upstream; equal on all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct CrashId(pub u64);
 
@@ -24,66 +24,66 @@
     }
 }
 
-/// An upstream that ended without a word, with the requests that it worked on.
+/// An unannounced exit of an upstream, with the requests that it was running.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CrashReport {
-    /// The sidecar beside it. Ids of incarnations need not differ between nodes.
+    /// The upstream's sidecar; instance ids are not necessarily unique across nodes.
     pub node: NodeAddress,
-    /// Incarnation that ended; a report of it that is told twice counts once.
+    /// Incarnation that exited; duplicate reports of it count once.
     pub instance: String,
-    /// What it worked on, without requests that upstreams ran well a moment before.
+    /// Requests that it was running, except those that upstreams recently completed.
     pub running: Vec<Fingerprint>,
 }
 
-/// A request that is kept from all upstreams.
+/// A request that is not forwarded to any upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct QuarantineEntry {
-    /// Which.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// Ends of upstreams that speak against it, as far as is known; the newest last. Empty if they were
-    /// not told, as by sidecars of an earlier version.
+    /// Known crashes attributed to it, newest last. Empty if none were reported, for example by sidecars
+    /// of an earlier version.
     pub crashes: Vec<CrashId>,
-    /// How much longer it is kept from them, milliseconds.
+    /// Remaining time in quarantine, milliseconds.
     pub left_ms: u64,
 }
 
-/// A request that is cleared of some ends of upstreams. An end that it does not name still speaks
-/// against the request, so that it does not matter in which order nodes hear of them.
+/// Clears a request of a set of crashes. Crashes that are not listed still count against the request,
+/// so the order in which nodes receive crash reports and clearings does not matter.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Clearing {
-    /// Which.
+    /// The request.
     pub fingerprint: Fingerprint,
-    /// Those that were known where it was cleared.
+    /// Crashes that were known to the node that cleared it.
     pub crashes: Vec<CrashId>,
 }
 
-/// Ends that a quarantine must rest on.
-const FEWEST_CRASHES: usize = 2;
+/// Minimum number of crashes that puts a request in quarantine.
+const MIN_QUARANTINE_CRASHES: usize = 2;
 
 impl Clearing {
-    /// Whether it names enough for a quarantine to have rested on them.
+    /// Whether it lists enough crashes for the request to have been in quarantine.
     pub fn ends_quarantine(&self) -> bool {
-        self.crashes.len() >= FEWEST_CRASHES
+        self.crashes.len() >= MIN_QUARANTINE_CRASHES
     }
 }
 
-/// What nodes tell each other of such requests. Each may be told twice, or late.
+/// An event concerning a poison request. Events may be delivered more than once, or late.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum PoisonEvent {
-    /// An upstream ended.
+    /// An upstream crashed.
     Crash(CrashReport),
-    /// An upstream ran a suspect and did not end, or an operator cleared it.
+    /// An upstream completed a suspected request, or an operator cleared it.
     Cleared(Clearing),
-    /// A request is in quarantine; told to a coordinator that may have forgotten.
+    /// A request is in quarantine; sent to a coordinator that may have lost this state.
     Quarantined(QuarantineEntry),
 }
 
-/// Such news with its age.
+/// A [`PoisonEvent`] with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct PoisonNotice {
-    /// How long ago it was first told, milliseconds.
+    /// Time since it was first reported, milliseconds.
     pub age_ms: u64,
-    /// What it is.
+    /// The event.
     pub event: PoisonEvent,
 }
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -1,71 +1,71 @@
-//! Credits of tenants' quotas, as sidecars ask for them and coordinators lend them to each other.
+//! Credits of tenant quotas, which sidecars request and coordinators transfer to each other.
 
 use speedy::{Readable, Writable};
 
-/// Names a tenant in these frames: a hash of its name, the same on all nodes.
+/// Identifies a tenant in these frames: a hash of its name, equal on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct TenantId(pub u64);
 
-/// What a sidecar asks for one tenant. One credit is one request.
+/// A sidecar's demand for one tenant. One credit admits one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CreditAsk {
-    /// For whom.
+    /// The tenant.
     pub tenant: TenantId,
-    /// Credits that calls wait for.
+    /// Credits for calls that are waiting.
     pub need: u16,
-    /// Credits that calls of the next moments are likely to want.
+    /// Credits to prefetch for the calls expected next.
     pub ahead: u16,
-    /// Credits held and not spent.
+    /// Unspent credits held by the sidecar.
     pub kept: u16,
-    /// Requests that reached upstreams without a credit, and were not told before: repeats.
+    /// Requests sent to upstreams without a credit (retries) and not reported yet.
     pub debt: u16,
-    /// Calls refused here since the last request, because there was no credit a moment before.
+    /// Calls that the sidecar refused for lack of credit since its last credit request.
     pub refused: u16,
 }
 
-/// What one sidecar is given for one tenant.
+/// Credits granted to a sidecar for one tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CreditGrant {
-    /// For whom.
+    /// The tenant.
     pub tenant: TenantId,
-    /// Credits for calls that wait.
+    /// Credits for calls that are waiting.
     pub granted: u16,
-    /// Credits to hold.
+    /// Prefetched credits to hold.
     pub ahead: u16,
-    /// When more is likely there, milliseconds; read if calls still wait.
+    /// Delay after which more credit is expected, milliseconds; used if calls are still waiting.
     pub retry_ms: u16,
-    /// Whether another coordinator is asked meanwhile, so that more may be there in a moment.
+    /// Whether credit was requested from another coordinator, so that more may arrive shortly.
     pub pulling: bool,
 }
 
-/// An amount of one tenant's credit, thousandths of a request.
+/// An amount of a tenant's credit, in thousandths of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CreditAmount {
-    /// Whose.
+    /// The tenant.
     pub tenant: TenantId,
-    /// How much.
+    /// The amount.
     pub milli: u32,
 }
 
-/// What a sidecar tells the pool of a coordinator.
+/// A sidecar's credit request to a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CreditRequest {
-    /// When it was sent, milliseconds of the sidecar's clock.
+    /// When it was sent, in milliseconds of the sidecar's clock.
     pub asked_at: u64,
-    /// Whether the sidecar adds its own part of all quotas to this pool for the next moments; it
-    /// does so to one coordinator at a time.
+    /// Whether the sidecar lends its own share of all quotas to this coordinator's pool for a short time;
+    /// it lends to one coordinator at a time.
     pub lends: bool,
-    /// What it asks for.
+    /// Demand by tenant.
     pub asks: Vec<CreditAsk>,
 }
 
 /// The answer to a [`CreditRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CreditAnswer {
-    /// As in the request: the time from which the credits' lives count.
+    /// Copied from the request; the validity of the credits starts at this time.
     pub asked_at: u64,
-    /// Sidecars among which quotas are divided; 0 if that is not known yet.
+    /// Number of sidecars among which quotas are divided; 0 if not known yet.
     pub nodes: u32,
-    /// What is given.
+    /// Grants by tenant.
     pub grants: Vec<CreditGrant>,
 }
--- a/crates/mesh/src/record.rs
+++ b/crates/mesh/src/record.rs
@@ -1,13 +1,13 @@
-//! What is known of a sidecar and of the upstream beside it.
+//! Records of sidecars and of their upstreams.
 
 use speedy::{Readable, Writable};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Where a sidecar's peers reach it; also its name.
+/// Address at which other sidecars reach a sidecar; also identifies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct NodeAddress {
-    /// Address.
+    /// IP address.
     pub ip: Ipv4Addr,
     /// Port.
     pub port: u16,
@@ -31,20 +31,21 @@
     }
 }
 
-/// How far an upstream is in its life. The order is that of time: it never goes back.
+/// Lifecycle state of an upstream. States are ordered in time; an upstream never returns to an earlier
+/// state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum InstanceState {
-    /// Takes work.
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has.
+    /// Completes the calls it has and accepts no new ones.
     Draining,
-    /// Said that it ends.
+    /// Announced that it exits.
     Left,
 }
 
 impl InstanceState {
-    /// One lower-case word.
+    /// Lower-case name of the state.
     pub fn as_str(self) -> &'static str {
         match self {
             InstanceState::Ready => "ready",
@@ -57,45 +58,46 @@
 /// One incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct InstanceRecord {
-    /// Unique id of the incarnation.
+    /// Instance id.
     pub id: String,
-    /// Version of its software; empty if it told none.
+    /// Version of its software; empty if not reported.
     pub version: String,
-    /// State.
+    /// Lifecycle state.
     pub state: InstanceState,
-    /// Requests it works on at once.
+    /// Number of requests that it executes concurrently.
     pub slots: u32,
-    /// How much longer it stays slow after its start, milliseconds from when this was sent.
+    /// Remaining duration of its slow phase after a start, milliseconds from when the record was sent.
     pub cold_remaining_ms: u32,
-    /// When it started, Unix milliseconds of its own clock; 0 if it did not tell. An upstream may start
-    /// again under its id: the two together name one incarnation.
+    /// Start time, Unix milliseconds of its own clock; 0 if not reported. An upstream may restart with
+    /// the same id: id and start time together identify an incarnation.
     pub born_ms: u64,
 }
 
 impl InstanceRecord {
-    /// Which incarnation this is.
+    /// The incarnation that the record describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), born_ms: self.born_ms }
     }
 }
 
-/// Names one start of an upstream.
+/// Identifies one start of an upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Incarnation {
-    /// Its id; one that starts again may keep it.
+    /// Instance id; may be kept across restarts.
     pub id: String,
-    /// When it started, Unix milliseconds; 0 if that was not told.
+    /// Start time, Unix milliseconds; 0 if not reported.
     pub born_ms: u64,
 }
 
 impl Incarnation {
-    /// Whether both may be the same start: a time that was not told tells nothing apart.
+    /// Whether both may be the same incarnation: if a start time is missing, only the ids are compared.
     pub fn may_equal(&self, other: &Self) -> bool {
-        let untold = self.born_ms == 0 || other.born_ms == 0;
-        self.id == other.id && (untold || self.born_ms == other.born_ms)
+        let unreported = self.born_ms == 0 || other.born_ms == 0;
+        self.id == other.id && (unreported || self.born_ms == other.born_ms)
     }
 
-    /// A name that no other start of an upstream beside the same sidecar has, if its time was told.
+    /// A name that is unique among the upstream's incarnations at one sidecar, if the start time was
+    /// reported.
     pub fn name(&self) -> String {
         match self.born_ms {
             0 => self.id.clone(),
@@ -103,44 +105,44 @@
         }
     }
 
-    /// Whether this is a later start under the same id.
+    /// Whether this is a later incarnation with the same id.
     pub fn is_restart_of(&self, other: &Self) -> bool {
         self.id == other.id && other.born_ms > 0 && self.born_ms > other.born_ms
     }
 }
 
-/// A sidecar with the upstream beside it.
+/// A sidecar with its upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct NodeRecord {
-    /// Where its peers reach it; also its name.
+    /// Address at which other sidecars reach it; also identifies it.
     pub address: NodeAddress,
-    /// Drawn at its start; tells its lives apart.
+    /// Random id of the sidecar process, chosen at each start.
     pub boot_id: u64,
-    /// Rises with every change within one life.
+    /// Increases with every change under one boot id.
     pub sequence: u64,
     /// Its zone.
     pub zone: String,
-    /// Service of its upstream.
+    /// Service to which its upstream belongs.
     pub service: String,
     /// Whether the sidecar itself is stopping.
     pub stopping: bool,
-    /// Its upstream, once it has one.
+    /// Its upstream, once one has registered.
     pub instance: Option<InstanceRecord>,
 }
 
-/// Which version of a sidecar's record a coordinator lists.
+/// The version of a sidecar's record, as listed by a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct RegistryEntry {
     /// The sidecar.
     pub address: NodeAddress,
-    /// Its life.
+    /// Its boot id.
     pub boot_id: u64,
-    /// Sequence of the record within that life.
+    /// Sequence number of the record under that boot id.
     pub sequence: u64,
 }
 
 impl RegistryEntry {
-    /// The version of this record.
+    /// The entry for a record.
     pub fn of(record: &NodeRecord) -> Self {
         RegistryEntry {
             address: record.address,
@@ -150,29 +152,29 @@
     }
 }
 
-/// A sidecar that a coordinator hears on a link of its own.
+/// A sidecar that is directly connected to a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct HeardNode {
-    /// Its newest record.
+    /// Its latest record.
     pub record: NodeRecord,
-    /// Time since it was last heard, milliseconds when this was sent.
+    /// Time since it was last heard from, milliseconds at the time of sending.
     pub silent_ms: u32,
 }
 
-/// How busy an upstream is, as the sidecar beside it counts; the only one that sends to it.
+/// Load of an upstream as measured by its sidecar, which is the only one to forward calls to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct UpstreamLoad {
-    /// Calls it works on, at most 255.
+    /// Calls in execution, at most 255.
     pub running: u8,
-    /// Calls that wait for it, at most 255.
+    /// Queued calls, at most 255.
     pub queued: u8,
-    /// Recent time that a call occupies a slot, milliseconds, at most 65,535.
+    /// Recent time for which a call occupies a slot, milliseconds, at most 65,535.
     pub service_ms: u16,
-    /// How long work takes there now, percent of what is usual at its service; 0 if that is not known.
+    /// Current service time, percent of the usual service time of its service; 0 if not known.
     pub pace_percent: u16,
-    /// Part of its machine's link that is in use, percent; 0 if that is not known.
+    /// Utilization of its machine's network link, percent; 0 if not known.
     pub link_percent: u8,
-    /// How long a large answer would wait for that link, milliseconds, at most 65,535.
+    /// Expected wait of a large response for that link, milliseconds, at most 65,535.
     pub egress_wait_ms: u16,
 }
 
@@ -183,13 +185,13 @@
 }
 
 impl UpstreamLoad {
-    /// A load; what does not fit is cut.
+    /// Creates a load; values that do not fit are clamped.
     pub fn new(running: u32, queued: u32, service_ms: u32) -> Self {
-        let cut = |count: u32| u8::try_from(count).unwrap_or(u8::MAX);
+        let clamp = |count: u32| u8::try_from(count).unwrap_or(u8::MAX);
         let service_ms = u16::try_from(service_ms).unwrap_or(u16::MAX);
         UpstreamLoad {
-            running: cut(running),
-            queued: cut(queued),
+            running: clamp(running),
+            queued: clamp(queued),
             service_ms,
             pace_percent: 0,
             link_percent: 0,
@@ -197,40 +199,40 @@
         }
     }
 
-    /// The same of an upstream that takes so long, percent of what is usual.
+    /// Sets the service time, percent of the usual one.
     pub fn with_pace(self, percent: u32) -> Self {
         let pace_percent = u16::try_from(percent).unwrap_or(u16::MAX);
         UpstreamLoad { pace_percent, ..self }
     }
 
-    /// The same on a machine of whose link so much is in use, percent.
+    /// Sets the utilization of the machine's link, percent.
     pub fn with_link(self, percent: u32) -> Self {
         let link_percent = u8::try_from(percent).unwrap_or(u8::MAX);
         UpstreamLoad { link_percent, ..self }
     }
 
-    /// The same on a machine over whose link a large answer would wait so long, milliseconds.
+    /// Sets the expected wait of a large response for the machine's link, milliseconds.
     pub fn with_egress_wait(self, wait_ms: u64) -> Self {
         let egress_wait_ms = u16::try_from(wait_ms).unwrap_or(u16::MAX);
         UpstreamLoad { egress_wait_ms, ..self }
     }
 
-    /// Calls with it, those that wait included.
+    /// Number of calls in execution and in the queue.
     pub fn total_calls(self) -> u32 {
         u32::from(self.running) + u32::from(self.queued)
     }
 }
 
-/// How busy the upstream beside one sidecar is.
+/// Load of a sidecar's upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct NodeLoad {
     /// The sidecar.
     pub address: NodeAddress,
-    /// Its upstream's load.
+    /// The load of its upstream.
     pub load: UpstreamLoad,
 }
 
 impl NodeLoad {
-    /// Length in a frame, bytes.
+    /// Encoded size in a frame, bytes.
     pub const BYTES: usize = 15;
 }
--- a/crates/mesh/src/version.rs
+++ b/crates/mesh/src/version.rs
@@ -1,51 +1,52 @@
-//! Versions of upstreams: which may be given calls, and what became of the calls they were given.
+//! Versions of upstreams: which of them may receive calls, and the outcomes of the calls they received.
 
 use speedy::{Readable, Writable};
 
-/// Longest name of a version, bytes; in an order longer ones are refused, in a record they are cut.
+/// Maximum length of a version name, bytes; longer ones are rejected in a canary order and truncated in
+/// a record.
 pub const MAX_VERSION_BYTES: usize = 128;
-/// All calls, in the unit of [`CandidateShare::permille`].
+/// The share of all calls, in the unit of [`CandidateShare::permille`].
 pub const WHOLE_PERMILLE: u16 = 1_000;
-/// Bins of times; each two are a doubling, so the last begins at 46 s.
+/// Number of latency bins; two bins span a doubling, so the last one starts at 46 s.
 pub const TIME_BINS: usize = 32;
 const BINS_PER_DOUBLING: f64 = 2.0;
 
-/// How the upstreams of one version take part in their service.
+/// Role of the upstreams of one version in their service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Track {
-    /// They get the calls.
+    /// They receive the regular calls.
     Stable,
-    /// They get the share of a canary.
+    /// They receive the share of calls of a canary.
     Candidate,
-    /// They get none.
+    /// They receive no calls.
     Barred,
 }
 
-/// The version that a canary is under way for.
+/// The candidate version of a running canary.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct CandidateShare {
     /// The version.
     pub version: String,
-    /// Names this canary; rises with each.
+    /// Number of this canary; increases with each canary.
     pub run: u64,
-    /// Calls of the service that go to it, in a thousand.
+    /// Share of the service's calls that it receives, per mille.
     pub permille: u16,
 }
 
-/// Which upstreams of a service may be given calls, by their version.
+/// Which upstreams of a service may receive calls, by their version.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct VersionPolicy {
     /// The service.
     pub service: String,
-    /// The version of a canary under way.
+    /// The candidate of the running canary, if any.
     pub candidate: Option<CandidateShare>,
-    /// Versions that were rejected, or replaced by the one that is in use.
+    /// Versions that were rejected or replaced by the current one.
     pub barred: Vec<String>,
 }
 
 impl VersionPolicy {
-    /// How upstreams of a version take part. A version that nobody spoke of is an ordinary one: a
-    /// new version comes with an order, which is known here before its first upstream.
+    /// Role of a version's upstreams. A version that is not mentioned is stable: a new version requires
+    /// a canary order, which is received here before the version's first upstream.
     pub fn track(&self, version: &str) -> Track {
         let candidate = self.candidate.as_ref();
         let whole = candidate.is_some_and(|candidate| candidate.permille >= WHOLE_PERMILLE);
@@ -62,7 +63,7 @@
     }
 }
 
-/// Calls of one kind: those of one rank and target latency, mostly of one route.
+/// A class of calls: those with the same rank and target latency, usually of one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct CallClass {
     /// Rank of the route.
@@ -71,23 +72,23 @@
     pub target_ms: u32,
 }
 
-/// What became of the calls of one class at one upstream since a canary began.
+/// Outcomes of the calls of one class at one upstream since a canary began.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct ClassOutcomes {
-    /// Calls that it failed.
+    /// Failed calls.
     pub failed: u32,
-    /// Calls that it answered, by [`time_bin`]; shorter if the last bins are empty.
+    /// Answered calls by [`time_bin`]; trailing empty bins are omitted.
     pub answered: Vec<u32>,
 }
 
-/// The bin of a time.
+/// Latency bin of a duration.
 pub fn time_bin(milliseconds: u64) -> usize {
     let doublings = (milliseconds.max(1) as f64).log2();
     ((doublings * BINS_PER_DOUBLING) as usize).min(TIME_BINS - 1)
 }
 
 impl ClassOutcomes {
-    /// Notes an answer that took so long.
+    /// Records a call that was answered after a number of milliseconds.
     pub fn note_answered(&mut self, milliseconds: u64) {
         let bin = time_bin(milliseconds);
         if self.answered.len() <= bin {
@@ -96,18 +97,18 @@
         self.answered[bin] += 1;
     }
 
-    /// Calls that ended.
+    /// Number of calls that ended.
     pub fn ended(&self) -> u32 {
         self.failed + self.answered.iter().sum::<u32>()
     }
 
-    /// Answers in bins from this one on.
+    /// Number of answered calls in `bin` and all later bins.
     pub fn answered_from(&self, bin: usize) -> u32 {
         self.answered.iter().skip(bin).sum()
     }
 }
 
-/// Outcomes of one class, as they are told.
+/// Outcomes of one class, as reported to coordinators.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ClassEvidence {
     /// The class.
@@ -116,8 +117,8 @@
     pub outcomes: ClassOutcomes,
 }
 
-/// What one sidecar saw of its upstream since a canary began: running sums, so that one that is
-/// lost or told twice changes nothing.
+/// Outcomes that one sidecar recorded at its upstream since a canary began. They are cumulative, so lost
+/// or duplicate messages do no harm.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct VersionEvidence {
     /// The canary.
@@ -126,6 +127,6 @@
     pub service: String,
     /// Version of the upstream.
     pub version: String,
-    /// One for each class that it had calls of.
+    /// One entry for each class of which it received calls.
     pub classes: Vec<ClassEvidence>,
 }
--- a/crates/mesh/tests/hop.rs
+++ b/crates/mesh/tests/hop.rs
@@ -1,4 +1,4 @@
-//! The header between two sidecars, as text.
+//! Encoding and decoding of the headers that sidecars add to calls.
 
 use expect_test::expect;
 use mesh::{CrashId, Departure, HopOutcome, HopReply, HopRequest, InstanceState};
@@ -37,23 +37,24 @@
 #[test]
 fn a_reply_of_a_call_in_quarantine_names_what_that_rests_on() {
     let quarantine_crashes = [CrashId(0xabc), CrashId(u64::MAX)];
-    let kept = HopReply { quarantine_left_ms: 59_000, quarantine_crashes, ..reply() };
+    let quarantined = HopReply { quarantine_left_ms: 59_000, quarantine_crashes, ..reply() };
     expect![
         "a 3 1 9 120 97 0 d 12 40 75 800 0 59000 310 1900 1 0 0 0000000000000abc ffffffffffffffff"
     ]
-    .assert_eq(&kept.encode());
-    assert_eq!(HopReply::decode(&kept.encode()), Some(kept));
+    .assert_eq(&quarantined.encode());
+    assert_eq!(HopReply::decode(&quarantined.encode()), Some(quarantined));
 }
 
 #[test]
 fn a_reply_of_an_earlier_version_is_read_too() {
-    let egress =
+    let without_egress =
         HopReply { egress_wait_ms: 0, egress_bytes_per_ms: 0, link_full: false, ..reply() };
-    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d 12 40 75 800 0 0"), Some(egress));
-    let former = HopReply { transfer_wait_ms: 0, transfer_bytes_per_ms: 0, ..egress };
-    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d 12 40"), Some(former));
-    let first = HopReply { failing_percent: 0, link_percent: 0, ..former };
-    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d"), Some(first));
+    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d 12 40 75 800 0 0"), Some(without_egress));
+    let without_transfer =
+        HopReply { transfer_wait_ms: 0, transfer_bytes_per_ms: 0, ..without_egress };
+    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d 12 40"), Some(without_transfer));
+    let without_link = HopReply { failing_percent: 0, link_percent: 0, ..without_transfer };
+    assert_eq!(HopReply::decode("a 3 1 9 120 97 0 d"), Some(without_link));
 }
 
 #[test]
