--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of a coordinator, in whatever dialect it was started with.
+//! The operator API of a coordinator, in the dialect with which the coordinator was started.
 
 use crate::dialect::{CanaryOrder, OperatorCall, OperatorDialect, Replacement};
 use crate::hub::Hub;
@@ -16,17 +16,17 @@
 use telemetry::{BootInstant, Clock, RequestCounter};
 use tracing::info;
 
-/// Operators go to another coordinator after a second; the answer must be there before.
+/// Operator tools try another coordinator after one second, so the response must be sent earlier.
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(800);
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
-/// Others are told within some tens of milliseconds, and tell back.
+/// Other coordinators receive a clearing within some tens of milliseconds and send it back.
 const HELD_ELSEWHERE_TIMEOUT: Duration = Duration::from_millis(700);
-const HELD_ELSEWHERE_LOOK: Duration = Duration::from_millis(10);
+const HELD_ELSEWHERE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ACCEPTED_STATUS: u16 = 202;
 const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 const RETRY_AFTER_S: &str = "0.2";
 
-/// What the interface needs.
+/// State of the API server.
 pub(crate) struct Api {
     pub group: Arc<Group>,
     pub hub: Arc<Hub>,
@@ -37,7 +37,7 @@
     pub requests: Arc<RequestCounter>,
 }
 
-/// Starts the interface.
+/// Starts the API server.
 pub(crate) fn spawn(api: Api) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let address = api.listen;
     let server = rouille::Server::new(address, move |request| api.handle(request))?;
@@ -47,7 +47,7 @@
 
 impl Api {
     fn handle(&self, request: &rouille::Request) -> Response {
-        let _place = self.requests.enter();
+        let _in_flight = self.requests.enter();
         match self.dialect.classify(request.method(), request.raw_url()) {
             Some(OperatorCall::Replace) => self.replace(request),
             Some(OperatorCall::Read) => self.read(request),
@@ -56,11 +56,11 @@
             Some(OperatorCall::EvacuateZone { zone }) => {
                 info!(%zone, "evacuation_ordered");
                 let command = Command::EvacuateZone { zone, ordered_ms: unix_ms() };
-                self.order(request, command)
+                self.propose_order(request, command)
             }
             Some(OperatorCall::RestoreZone { zone }) => {
                 info!(%zone, "restoration_ordered");
-                self.order(request, Command::RestoreZone { zone })
+                self.propose_order(request, Command::RestoreZone { zone })
             }
             Some(OperatorCall::ListEvacuations) => self.list_evacuations(request),
             Some(OperatorCall::ListQuarantine) => self.list_quarantine(),
@@ -71,14 +71,14 @@
         }
     }
 
-    /// What this coordinator was told; any of them knows it within a second.
+    /// Lists the entries known to this coordinator; every coordinator knows them within a second.
     fn list_quarantine(&self) -> Response {
         let entries = self.hub.lock().poison.entries(self.clock.now_ms());
         Response::from_data("application/json", self.dialect.write_quarantine(&entries))
     }
 
     fn clear_quarantine(&self, fingerprint: Fingerprint) -> Response {
-        let cleared = self.hub.clear_poison(fingerprint, self.clock.now_ms());
+        let cleared = self.hub.clear_quarantine(fingerprint, self.clock.now_ms());
         if !cleared {
             info!(%fingerprint, cleared, "quarantine_cleared_by_operator");
             return Response::empty_404();
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Whether a second coordinator has a clearing, if there is another: it is kept in memory only, and
-    /// must outlive this process once an operator was told that it is done.
+    /// Waits until another coordinator, if there is one, has a clearing. Clearings are kept only in memory,
+    /// and one that was confirmed to an operator must survive the end of this process.
     fn wait_until_held_elsewhere(&self, fingerprint: Fingerprint) -> bool {
         let is_alone = self.group.members().len() <= 1;
         let end = BootInstant::now() + HELD_ELSEWHERE_TIMEOUT;
         let is_held = || is_alone || !self.hub.lock().poison.is_held_here_only(fingerprint);
         while !is_held() && BootInstant::now() < end {
-            thread::sleep(HELD_ELSEWHERE_LOOK);
+            thread::sleep(HELD_ELSEWHERE_POLL_INTERVAL);
         }
         let held = is_held();
         self.hub.lock().poison.forget_held_here_only(fingerprint);
@@ -112,10 +112,10 @@
         let precondition = request.header(self.dialect.precondition_header());
         let replacement = match self.dialect.read_replacement(precondition, &body) {
             Ok(replacement) => replacement,
-            Err(reason) => return refused(400, 0, &reason),
+            Err(reason) => return rejection(400, 0, &reason),
         };
         if let Some(problem) = replacement.bundle.check().first() {
-            return refused(400, replacement.version, &problem.to_string());
+            return rejection(400, replacement.version, &problem.to_string());
         }
         let version = replacement.version;
         let command = self.command(replacement);
@@ -123,8 +123,8 @@
         let request_id = format!("replace-{version}-{:x}", fastrand::u64(..));
         let proposal = Request { operator, request_id, command };
         match self.group.replica.propose(proposal, PROPOSE_TIMEOUT) {
-            Ok(answer) => answered(version, answer),
-            Err(error) => self.not_answered(request, version, &error),
+            Ok(answer) => proposal_response(version, answer),
+            Err(error) => self.proposal_error(request, version, &error),
         }
     }
 
@@ -134,27 +134,27 @@
         };
         let order = match self.dialect.read_canary_order(&body) {
             Ok(order) => order,
-            Err(reason) => return refused(400, 0, &reason),
+            Err(reason) => return rejection(400, 0, &reason),
         };
         let CanaryOrder { service, version, duration_ms } = order;
         info!(%service, %version, duration_ms, "canary_ordered");
-        self.order(request, Command::StartCanary { service, version, duration_ms })
+        self.propose_order(request, Command::StartCanary { service, version, duration_ms })
     }
 
-    /// Proposes an order that has the same effect however often it is taken.
-    fn order(&self, request: &rouille::Request, command: Command) -> Response {
+    /// Proposes an idempotent order.
+    fn propose_order(&self, request: &rouille::Request, command: Command) -> Response {
         let operator = self.trusted_source.clone();
         let request_id = format!("order-{:x}", fastrand::u64(..));
         let proposal = Request { operator, request_id, command };
         match self.group.replica.propose(proposal, PROPOSE_TIMEOUT) {
-            Ok(answer) => answered(0, answer),
-            Err(error) => self.not_answered(request, 0, &error),
+            Ok(answer) => proposal_response(0, answer),
+            Err(error) => self.proposal_error(request, 0, &error),
         }
     }
 
     fn list_evacuations(&self, request: &rouille::Request) -> Response {
         if let Err(error) = self.group.replica.read(READ_TIMEOUT) {
-            return self.not_answered(request, 0, &error);
+            return self.proposal_error(request, 0, &error);
         }
         let zones = self.group.evacuations().zones;
         let body = self.dialect.write_evacuations(&zones, unix_ms());
@@ -163,7 +163,7 @@
 
     fn read_canary(&self, request: &rouille::Request, service: &str) -> Response {
         if let Err(error) = self.group.replica.read(READ_TIMEOUT) {
-            return self.not_answered(request, 0, &error);
+            return self.proposal_error(request, 0, &error);
         }
         let found = self.group.replica.lock().machine.0.canaries().get(service).cloned();
         match found {
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Whoever leads is asked instead; the operator's tool follows.
-    fn not_answered(
+    /// Redirects to the leader if it is another coordinator; the operator's tool follows redirects.
+    fn proposal_error(
         &self,
         request: &rouille::Request,
         version: u64,
@@ -209,7 +209,7 @@
 
     fn read(&self, request: &rouille::Request) -> Response {
         if let Err(error) = self.group.replica.read(READ_TIMEOUT) {
-            return self.not_answered(request, 0, &error);
+            return self.proposal_error(request, 0, &error);
         }
         let (version, bundle) = {
             let published = self.group.replica.lock();
@@ -222,11 +222,11 @@
     }
 }
 
-/// Time by this machine's clock, Unix milliseconds; only told to people.
+/// Wall-clock time, Unix milliseconds; only used for display.
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    // A clock before 1970 shows a wrong age and changes nothing else.
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    // A clock before 1970 only causes a wrong age to be displayed.
+    since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
 fn read_body(request: &rouille::Request) -> Option<Vec<u8>> {
@@ -236,7 +236,7 @@
     (body.len() as u64 <= MAX_BODY_BYTES).then_some(body)
 }
 
-fn answered(version: u64, answer: rollout::Answer) -> Response {
+fn proposal_response(version: u64, answer: rollout::Answer) -> Response {
     match answer {
         Ok(Accepted::CanaryStarted { run }) => {
             info!(run, "canary_accepted");
@@ -259,23 +259,23 @@
             Response::text("accepted\n")
         }
         Err(refusal @ Refusal::CanaryUnderWay { .. }) => {
-            refused(409, version, &refusal.to_string())
+            rejection(409, version, &refusal.to_string())
         }
         Err(refusal @ (Refusal::VersionChanged { .. } | Refusal::VersionConflict { .. })) => {
-            refused(412, version, &refusal.to_string())
+            rejection(412, version, &refusal.to_string())
         }
         Err(refusal @ Refusal::NotTrusted { .. }) => {
-            // The policy is set by a new leader within moments.
+            // A new leader sets the policy shortly after its election.
             info!(version, reason = %refusal, "order_early");
             Response::empty_400()
                 .with_status_code(503)
                 .with_additional_header("Retry-After", RETRY_AFTER_S)
         }
-        Err(refusal) => refused(400, version, &refusal.to_string()),
+        Err(refusal) => rejection(400, version, &refusal.to_string()),
     }
 }
 
-fn refused(status: u16, version: u64, reason: &str) -> Response {
+fn rejection(status: u16, version: u64, reason: &str) -> Response {
     info!(version, status, reason, "order_refused");
     Response::text(format!("{reason}\n")).with_status_code(status)
 }
--- a/crates/coordinator/src/canaries.rs
+++ b/crates/coordinator/src/canaries.rs
@@ -1,4 +1,4 @@
-//! The leader takes canaries to their next phases, on what the sidecars told.
+//! Advances canaries through their phases on the leader, based on evidence reported by sidecars.
 
 use crate::hub::{Hub, HubState};
 use crate::membership::Group;
@@ -14,18 +14,19 @@
 use telemetry::Clock;
 use tracing::{info, warn};
 
-/// Time between two looks at the canaries: short against the second in which a share may be spent.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between checks of the canaries: short compared to the second within which a candidate's
+/// share of calls may be used up.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const PROPOSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What sidecars are told of canaries.
+/// Derives the version policies sent to sidecars from the state of canaries.
 #[derive(Clone, Copy, Debug)]
 pub struct CanaryPolicies {
     exposed_part: f64,
 }
 
 impl CanaryPolicies {
-    /// A version that turns out to be bad may have had `exposed_part` of the calls, 0 to 1.
+    /// `exposed_part` is the maximum share of calls that a bad version may have received, from 0 to 1.
     pub fn new(exposed_part: f64) -> Self {
         CanaryPolicies { exposed_part }
     }
@@ -34,7 +35,7 @@
         Plan::new(record.duration_ms, self.exposed_part)
     }
 
-    /// Which versions may be given calls.
+    /// The version policies of all services with a canary.
     pub fn of(&self, canaries: &BTreeMap<String, CanaryRecord>) -> Vec<VersionPolicy> {
         let of_service = |(service, record): (&String, &CanaryRecord)| VersionPolicy {
             service: service.clone(),
@@ -49,66 +50,70 @@
     }
 }
 
-/// A phase of a canary, and when it was first seen here.
+/// A phase of a canary, and when this process first observed it.
 #[derive(Clone, Copy, Debug)]
-struct PhaseSeen {
+struct ObservedPhase {
     run: u64,
     phase: Phase,
     at: Millis,
-    /// The verdict that was logged last.
+    /// The last logged verdict.
     verdict: Option<Discriminant<Verdict>>,
 }
 
-/// The loop that looks after canaries.
+/// The loop that advances canaries.
 pub(crate) struct CanaryLoop {
     hub: Arc<Hub>,
     group: Arc<Group>,
     clock: Clock,
     policies: CanaryPolicies,
-    seen: BTreeMap<String, PhaseSeen>,
+    observed: BTreeMap<String, ObservedPhase>,
 }
 
 impl CanaryLoop {
     pub fn new(hub: Arc<Hub>, group: Arc<Group>, clock: Clock, policies: CanaryPolicies) -> Self {
-        CanaryLoop { hub, group, clock, policies, seen: BTreeMap::new() }
+        CanaryLoop { hub, group, clock, policies, observed: BTreeMap::new() }
     }
 
     /// Starts the loop.
     pub fn spawn(mut self) {
         thread::spawn(move || loop {
-            thread::sleep(LOOK_INTERVAL);
-            self.look();
+            thread::sleep(CHECK_INTERVAL);
+            self.check();
         });
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         let now = self.clock.now_ms();
         let mut running = self.group.versions().canaries;
         running.retain(|_, record| record.phase.is_running());
         self.hub.lock().evidence.retain(|service, _| running.contains_key(service));
-        self.seen.retain(|service, _| running.contains_key(service));
+        self.observed.retain(|service, _| running.contains_key(service));
         for (service, record) in &running {
             let in_phase_ms = now.saturating_sub(self.phase_since(service, record, now));
-            self.gather(service, record, now);
+            self.prepare_evidence(service, record, now);
             if self.group.leads() {
-                self.step(service, record, in_phase_ms);
+                self.advance(service, record, in_phase_ms);
             }
         }
     }
 
-    /// When a canary came into its phase, as far as this process saw.
+    /// When this process first observed the current phase of a canary.
     fn phase_since(&mut self, service: &str, record: &CanaryRecord, now: Millis) -> Millis {
         let CanaryRecord { run, phase, .. } = *record;
-        let held = self.seen.get(service).filter(|seen| seen.run == run && seen.phase == phase);
-        let seen = held.copied().unwrap_or(PhaseSeen { run, phase, at: now, verdict: None });
-        self.seen.insert(service.to_owned(), seen);
-        seen.at
+        let known = self
+            .observed
+            .get(service)
+            .filter(|observed| observed.run == run && observed.phase == phase);
+        let observed =
+            known.copied().unwrap_or(ObservedPhase { run, phase, at: now, verdict: None });
+        self.observed.insert(service.to_owned(), observed);
+        observed.at
     }
 
-    fn gather(&self, service: &str, record: &CanaryRecord, now: Millis) {
+    fn prepare_evidence(&self, service: &str, record: &CanaryRecord, now: Millis) {
         let mut state = self.hub.lock();
-        let held = state.evidence.get(service).map(Evidence::run);
-        if held != Some(record.run) {
+        let known = state.evidence.get(service).map(Evidence::run);
+        if known != Some(record.run) {
             let evidence = Evidence::new(record.run, &record.version);
             state.evidence.insert(service.to_owned(), evidence);
         }
@@ -117,11 +122,11 @@
         }
     }
 
-    fn step(&mut self, service: &str, record: &CanaryRecord, in_phase_ms: Millis) {
-        let Some(told) = Told::of(&self.hub.lock(), service) else {
+    fn advance(&mut self, service: &str, record: &CanaryRecord, in_phase_ms: Millis) {
+        let Some(evidence) = EvidenceSnapshot::of(&self.hub.lock(), service) else {
             return;
         };
-        let judgement = judge(&told.whole, &told.recent);
+        let judgement = judge(&evidence.whole, &evidence.recent);
         self.log_verdict(service, record, &judgement);
         let loads = ServiceLoads::of(&self.hub.lock(), service, record);
         let facts = Facts {
@@ -129,7 +134,7 @@
             elapsed_ms: record.elapsed_ms + in_phase_ms,
             in_phase_ms,
             verdict: judgement.verdict,
-            candidate_ended: told.whole.candidate_ended(),
+            candidate_ended: evidence.whole.candidate_ended(),
             candidate_slots: loads.candidate_slots,
             stable_slots: loads.stable_slots,
             stable_calls: loads.stable_calls,
@@ -162,14 +167,14 @@
         }
     }
 
-    /// One line whenever the verdict is another one.
+    /// Logs the verdict whenever it changes.
     fn log_verdict(&mut self, service: &str, record: &CanaryRecord, judgement: &Judgement) {
         let Judgement { verdict, ratio } = judgement;
-        let Some(seen) = self.seen.get_mut(service) else {
+        let Some(observed) = self.observed.get_mut(service) else {
             return;
         };
-        let level = std::mem::discriminant(verdict);
-        if seen.verdict.replace(level) != Some(level) {
+        let kind = std::mem::discriminant(verdict);
+        if observed.verdict.replace(kind) != Some(kind) {
             info!(%service, version = %record.version, ?verdict, ratio, "canary_verdict");
         }
     }
@@ -178,25 +183,25 @@
         let state = self.hub.lock();
         let of_service = state.registry.records().filter(|record| record.service == service);
         let versions = of_service.filter_map(|record| record.instance.as_ref());
-        let others = versions.map(|instance| &instance.version).filter(|told| *told != version);
+        let others = versions.map(|instance| &instance.version).filter(|other| *other != version);
         others.cloned().collect::<BTreeSet<String>>().into_iter().collect()
     }
 }
 
-/// What was told of a canary, copied so that it is judged without the hub's lock.
-struct Told {
+/// Copy of a canary's evidence, so that it can be judged without holding the hub's lock.
+struct EvidenceSnapshot {
     whole: Sums,
     recent: Sums,
 }
 
-impl Told {
+impl EvidenceSnapshot {
     fn of(state: &HubState, service: &str) -> Option<Self> {
         let evidence = state.evidence.get(service)?;
-        Some(Told { whole: evidence.whole().clone(), recent: evidence.recent() })
+        Some(EvidenceSnapshot { whole: evidence.whole().clone(), recent: evidence.recent() })
     }
 }
 
-/// Slots and calls of the versions of a service.
+/// Slots and calls of a service, by stable and candidate versions.
 #[derive(Default)]
 struct ServiceLoads {
     candidate_slots: u32,
--- a/crates/coordinator/src/dialect.rs
+++ b/crates/coordinator/src/dialect.rs
@@ -1,87 +1,88 @@
-//! How operators speak to a coordinator: the runtime knows what to do, a dialect how it is said.
+//! Operator API dialects: a dialect defines the format of requests and responses, the runtime their
+//! effect.
 
 use bundle::Bundle;
 use mesh::{Fingerprint, QuarantineEntry};
 use rollout::{CanaryRecord, EvacuationRecord};
 use std::collections::BTreeMap;
 
-/// What an operator asks.
+/// An operation requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
     /// Replace the whole configuration.
     Replace,
-    /// Read the newest configuration.
+    /// Read the latest configuration.
     Read,
-    /// Move a service to another version of its upstreams.
+    /// Start a canary that moves a service to another version of its upstreams.
     StartCanary,
-    /// Read what became of the newest canary of a service.
+    /// Read the state of the latest canary of a service.
     ReadCanary {
         /// The service.
         service: String,
     },
-    /// Give the upstreams of a zone no more calls.
+    /// Stop sending calls to the upstreams of a zone.
     EvacuateZone {
         /// The zone.
         zone: String,
     },
-    /// Give the upstreams of an evacuated zone calls again.
+    /// Resume sending calls to the upstreams of an evacuated zone.
     RestoreZone {
         /// The zone.
         zone: String,
     },
     /// List the evacuated zones.
     ListEvacuations,
-    /// List the requests that are kept from upstreams.
+    /// List the quarantined requests.
     ListQuarantine,
-    /// Let upstreams have a request again.
+    /// Release a request from quarantine.
     ClearQuarantine {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
     },
 }
 
-/// An order to move a service to another version of its upstreams.
+/// An order to move a service to another version of its upstreams by a canary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CanaryOrder {
     /// The service.
     pub service: String,
     /// The version.
     pub version: String,
-    /// Time within which it should have taken over, milliseconds.
+    /// Time within which the version should be fully rolled out, milliseconds.
     pub duration_ms: u64,
 }
 
-/// A configuration that should replace the one in force.
+/// A request to replace the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replacement {
-    /// The version it builds on; 0 for the first.
+    /// The version that it is based on; 0 for the first configuration.
     pub expected_version: u64,
-    /// Its own version.
+    /// The new version.
     pub version: u64,
-    /// Its content.
+    /// The new content.
     pub bundle: Bundle,
 }
 
-/// Translates between an operator's format and the product's types. It decides nothing.
+/// Translates between an operator's format and internal types, without making any decisions.
 pub trait OperatorDialect: Send + Sync + 'static {
-    /// What a request asks; `None` if it is no call of operators.
+    /// The operation of a request; `None` if it is not part of the operator API.
     fn classify(&self, method: &str, url: &str) -> Option<OperatorCall>;
 
-    /// Reads a replacement; the error says what cannot be read.
+    /// Parses a replacement; the error states what is malformed.
     fn read_replacement(
         &self,
         precondition: Option<&str>,
         body: &[u8],
     ) -> Result<Replacement, String>;
 
-    /// Reads an order for a canary; the error says what cannot be read.
+    /// Parses a canary order; the error states what is malformed.
     fn read_canary_order(&self, body: &[u8]) -> Result<CanaryOrder, String>;
 
-    /// Writes what became of a canary.
+    /// Encodes the state of a canary.
     fn write_canary(&self, canary: &CanaryRecord) -> Vec<u8>;
 
-    /// Writes the evacuated zones, at a time in Unix milliseconds. Dialects without such a call need
-    /// none.
+    /// Encodes the evacuated zones; `_now_ms` is the current time in Unix milliseconds. Optional for
+    /// dialects without this operation.
     fn write_evacuations(
         &self,
         _zones: &BTreeMap<String, EvacuationRecord>,
@@ -90,14 +91,14 @@
         Vec::new()
     }
 
-    /// Writes the requests that are kept from upstreams. Dialects without such a call need none.
+    /// Encodes the quarantined requests. Optional for dialects without this operation.
     fn write_quarantine(&self, _entries: &[QuarantineEntry]) -> Vec<u8> {
         Vec::new()
     }
 
-    /// Header that carries the version a replacement builds on.
+    /// Name of the header that carries the version on which a replacement is based.
     fn precondition_header(&self) -> &'static str;
 
-    /// Writes a configuration the way a replacement is read.
+    /// Encodes a configuration in the format of a replacement.
     fn write_configuration(&self, version: u64, bundle: &Bundle) -> Vec<u8>;
 }
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -1,6 +1,6 @@
-//! What the coordinator knows of its sidecars, and what wakes the thread that serves their links.
+//! Shared state about sidecars, and the waker of the thread that serves their links.
 
-use crate::{LoadBoard, Millis, Registry};
+use crate::{LoadTable, Millis, Registry};
 use canary::Evidence;
 use mesh::{Fingerprint, PoisonEvent, PoisonNotice, QuarantineEntry};
 use mio::Waker;
@@ -10,30 +10,30 @@
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use tracing::{info, warn};
 
-/// What is known, shared by the loops of a coordinator.
+/// State shared by the threads of a coordinator.
 pub(crate) struct Hub {
     state: Mutex<HubState>,
     waker: OnceLock<Waker>,
-    /// Whether the thread of the links was woken and has not seen it yet.
-    waking: AtomicBool,
+    /// Whether the link thread was woken and has not handled the wake-up yet.
+    wake_pending: AtomicBool,
 }
 
-/// What links look at.
+/// State that the links are served from.
 pub(crate) struct HubState {
     pub registry: Registry,
-    pub loads: LoadBoard,
-    /// What was told of requests that may crash upstreams.
+    pub loads: LoadTable,
+    /// Events of poison requests.
     pub poison: NoticeBoard,
-    /// What was told of the canary of each service that has one under way.
+    /// Reported outcomes of the running canary of each service.
     pub evidence: BTreeMap<String, Evidence>,
-    /// Rises with each change of the configuration or the members.
+    /// Incremented with each change of the configuration or the members.
     pub revision: u64,
 }
 
 impl Hub {
     pub fn new(lease_ms: u64) -> Self {
         let registry = Registry::new(lease_ms);
-        let loads = LoadBoard::default();
+        let loads = LoadTable::default();
         let state = HubState {
             registry,
             loads,
@@ -41,51 +41,55 @@
             evidence: BTreeMap::new(),
             revision: 0,
         };
-        Hub { state: Mutex::new(state), waker: OnceLock::new(), waking: AtomicBool::new(false) }
+        Hub {
+            state: Mutex::new(state),
+            waker: OnceLock::new(),
+            wake_pending: AtomicBool::new(false),
+        }
     }
 
     pub fn lock(&self) -> MutexGuard<'_, HubState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Names what wakes the thread that serves the links; once.
+    /// Sets the waker of the link thread; called once.
     pub fn set_waker(&self, waker: Waker) {
         if self.waker.set(waker).is_err() {
-            warn!("the links are served by one thread");
+            warn!("the waker of the link thread is already set");
         }
     }
 
-    /// Wakes the thread that serves the links: something may be to be told.
+    /// Wakes the link thread, which may have updates to send.
     pub fn wake(&self) {
-        if self.waking.swap(true, Ordering::AcqRel) {
+        if self.wake_pending.swap(true, Ordering::AcqRel) {
             return;
         }
         if let Some(Err(error)) = self.waker.get().map(Waker::wake) {
-            // It looks by itself several times a second.
+            // The thread also wakes up by itself several times a second.
             warn!(%error, "links_not_woken");
         }
     }
 
-    /// Notes that the thread of the links is awake.
-    pub fn woken(&self) {
-        self.waking.store(false, Ordering::Release);
+    /// Notes that the link thread handled the wake-up.
+    pub fn clear_wake_pending(&self) {
+        self.wake_pending.store(false, Ordering::Release);
     }
 
-    /// Notes that the configuration or the members may have changed.
-    pub fn bump(&self) {
+    /// Notes that the configuration or the members may have changed, and wakes the link thread.
+    pub fn note_group_change(&self) {
         self.lock().revision += 1;
         self.wake();
     }
 
-    /// Takes in what was told of requests that may crash upstreams, by a sidecar here (`here`) or by
-    /// another coordinator.
-    pub fn take_poison(&self, notices: Vec<PoisonNotice>, here: bool, now: Millis) {
+    /// Processes events of poison requests from a directly connected sidecar (`here`) or from another
+    /// coordinator.
+    pub fn receive_poison(&self, notices: Vec<PoisonNotice>, here: bool, now: Millis) {
         let mut state = self.lock();
-        let former = state.poison.position();
+        let previous_position = state.poison.position();
         for notice in notices {
-            let told = ToldPoison::of(&notice);
+            let log_entry = PoisonLogEntry::of(&notice);
             let verdict = state.poison.take(notice, here, now);
-            told.log(here, verdict.is_some());
+            log_entry.log(here, verdict.is_some());
             if let Some(Verdict::Quarantined(entries)) = verdict {
                 for QuarantineEntry { fingerprint, crashes, left_ms } in entries {
                     let crashes = crashes.len();
@@ -93,14 +97,14 @@
                 }
             }
         }
-        if state.poison.position() != former {
+        if state.poison.position() != previous_position {
             drop(state);
             self.wake();
         }
     }
 
-    /// Lets upstreams have a request again, as an operator asks; false if it was not kept from them.
-    pub fn clear_poison(&self, fingerprint: Fingerprint, now: Millis) -> bool {
+    /// Releases a request from quarantine for an operator; returns whether it was in quarantine.
+    pub fn clear_quarantine(&self, fingerprint: Fingerprint, now: Millis) -> bool {
         let cleared = self.lock().poison.clear(fingerprint, now);
         if cleared {
             self.wake();
@@ -108,7 +112,7 @@
         cleared
     }
 
-    /// Removes the sidecars whose lease ended, and what is too old of poison requests.
+    /// Removes sidecars whose lease expired and outdated events of poison requests.
     pub fn expire(&self, now: Millis) {
         let mut state = self.lock();
         state.poison.expire(now);
@@ -116,20 +120,20 @@
             return;
         }
         let HubState { registry, loads, .. } = &mut *state;
-        loads.retain(|address| registry.lists(address));
+        loads.retain(|address| registry.contains(address));
         drop(state);
         self.wake();
     }
 }
 
-/// What a notice tells that may end or bring back a quarantine, for the log.
-enum ToldPoison {
+/// The part of a notice that is logged: events that may end or restore a quarantine.
+enum PoisonLogEntry {
     Crash,
     Cleared { fingerprint: Fingerprint, age_ms: u64 },
     Quarantined { fingerprint: Fingerprint, left_ms: u64, age_ms: u64 },
 }
 
-impl ToldPoison {
+impl PoisonLogEntry {
     fn of(notice: &PoisonNotice) -> Self {
         let age_ms = notice.age_ms;
         match &notice.event {
--- a/crates/coordinator/src/identity.rs
+++ b/crates/coordinator/src/identity.rs
@@ -1,7 +1,7 @@
-//! Which member this process is.
+//! The member id of this process.
 //!
-//! An empty disk never takes up a former id: the member may have voted and acknowledged entries
-//! that it would no longer know of.
+//! A process with an empty disk never reuses an earlier member id: that member may have cast votes and
+//! acknowledged entries that are lost with the disk.
 
 use mesh::MemberId;
 use settings::CoordinatorSettings;
@@ -9,14 +9,14 @@
 use std::net::Ipv4Addr;
 use storage::{open_data_folder, DataFolder, FolderIdentity, StorageError, IDENTITY_FILE};
 
-/// The data folder cannot be used.
+/// The data folder is unusable.
 #[derive(Debug, Snafu)]
 #[snafu(display("{source}"))]
 pub struct IdentityError {
     source: StorageError,
 }
 
-/// The member that an empty disk becomes.
+/// Chooses the member id for an empty disk.
 pub fn choose_member(
     own: Ipv4Addr,
     seeds: &[Ipv4Addr],
@@ -29,7 +29,7 @@
     MemberId::new(own, random.u32(1..))
 }
 
-/// Opens the data folder as the member it belongs to, or as a new one if it is empty.
+/// Opens the data folder with its member id, or with a new id if the folder is empty.
 pub(crate) fn open(
     settings: &CoordinatorSettings,
 ) -> Result<(DataFolder, MemberId), IdentityError> {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,6 +1,6 @@
-//! A coordinator: one replica of the configuration with what a small fleet needs beside it, in
-//! one process. It serves sidecars without a relay between, keeps the registry of sidecars, and
-//! looks after the membership of its group without an operator.
+//! The coordinator: a single process that holds a replica of the configuration and all other control
+//! functions that a small fleet needs. It serves sidecars directly, without relays, maintains the registry
+//! of sidecars, and manages the membership of its consensus group without an operator.
 #![forbid(unsafe_code)]
 
 mod api;
@@ -27,11 +27,11 @@
 pub use dialect::{CanaryOrder, OperatorCall, OperatorDialect, Replacement};
 pub use exchange::{Outgoing, RegistryExchange};
 pub use identity::{choose_member, IdentityError};
-pub use loads::{LoadBoard, ServiceLoad};
+pub use loads::{LoadTable, ServiceLoad};
 pub use registry::{Registry, RegistryChanges};
 pub use runtime::{run, CoordinatorError, RunningCoordinator};
 pub use silence::SilenceWatch;
 pub use transport::Transport;
 
-/// Milliseconds of a monotonic clock.
+/// Time of a monotonic clock, in milliseconds.
 pub type Millis = u64;
--- a/crates/coordinator/src/link_server.rs
+++ b/crates/coordinator/src/link_server.rs
@@ -1,11 +1,11 @@
-//! The one thread that serves the links of all sidecars, and hands connections of other coordinators
-//! over to threads of their own.
+//! The event loop that serves the links of all sidecars in one thread, and hands connections of other
+//! coordinators over to separate threads.
 //!
-//! A link costs a descriptor and what waits to be sent on it, no thread; so the number of links is
-//! bounded by the descriptors that the process may have, and connections of coordinators, which need a
-//! thread each, never wait for room among links of sidecars.
+//! A link needs a file descriptor and buffers for unsent data, but no thread. The number of links is
+//! therefore limited by the number of file descriptors, and connections of coordinators, which need a
+//! thread each, do not compete with links of sidecars.
 
-use crate::link::{Encoded, Link, Links, NodeFrames};
+use crate::link::{Encoded, Link, Links, NodeFrameCache};
 use crate::transport;
 use mesh::{
     decode_frame, FrameError, Greeting, Purpose, ToCoordinator, MAX_FRAME_BYTES, PROTOCOL_VERSION,
@@ -23,29 +23,29 @@
 const LISTENER: Token = Token(usize::MAX);
 const WAKER: Token = Token(usize::MAX - 1);
 const EVENTS_CAPACITY: usize = 1_024;
-const SCRATCH_BYTES: usize = 64 * 1024;
-/// Connections accepted before those that are open are looked at again.
-const ACCEPTS_AT_ONCE: usize = 64;
-/// Connections that have not greeted yet, at most; beyond, the oldest of them is closed. One greets
-/// within a few milliseconds: so many come in the moment in which a whole zone of a large fleet
-/// returns, and a flood of them costs a bounded memory.
-const MOST_UNGREETED: usize = 1_024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Maximum number of connections accepted before open connections are served again.
+const MAX_ACCEPTS_PER_ROUND: usize = 64;
+/// Maximum number of connections that have not sent a greeting; above it, the oldest of them is closed.
+/// A greeting usually arrives within a few milliseconds. The limit allows for the simultaneous return of
+/// a whole zone of a large fleet, and bounds the memory used during a connection flood.
+const MAX_UNGREETED: usize = 1_024;
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
-/// A sidecar that says nothing for this long is taken for gone: it pings each second.
+/// A link without data from its sidecar for this long is closed; sidecars ping once a second.
 const SILENCE_LIMIT: Duration = Duration::from_millis(3_500);
-/// A sidecar that takes nothing of what waits for it for this long is left; it links again.
+/// A link on which no pending data could be sent for this long is closed; the sidecar reconnects.
 const STALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Most that waits for one sidecar, bytes: some times the longest list and configuration.
-const MOST_WAITING_BYTES: usize = 2 * MAX_FRAME_BYTES;
-/// Changes of the registry are collected for this long, so that sidecars which start or leave
-/// together are told of in one frame. Short against the time in which a leaving upstream is served.
-const COLLECT_TIME: Duration = Duration::from_millis(20);
-/// Least time between two tellings: while a herd starts, each frame tells of many.
-const TELL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two looks at links that are silent or stalled, and at the group.
+/// Maximum unsent data of a link, bytes: several times the longest list and configuration.
+const MAX_PENDING_BYTES: usize = 2 * MAX_FRAME_BYTES;
+/// Time for which changes of the registry are batched, so that sidecars that start or leave together are
+/// announced in one frame. Short compared to the drain time of a leaving upstream.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Minimum interval between updates, so that each frame covers many sidecars during a mass start.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between checks for silent and stalled links and for changes of the group.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Takes over the connection of another coordinator, with what was read of it behind the greeting.
+/// Takes over the connection of another coordinator, with the data read after the greeting.
 pub(crate) type ServeCoordinator = Box<dyn Fn(std::net::TcpStream, SocketAddr, Vec<u8>) + Send>;
 
 struct Connection {
@@ -55,29 +55,29 @@
     output: Vec<u8>,
     sent: usize,
     heard_at: BootInstant,
-    /// Since when the socket took nothing of what waits.
+    /// Since when no pending data could be sent.
     stalled_since: Option<BootInstant>,
     stage: Stage,
 }
 
-/// How far a connection is.
+/// Protocol stage of a connection.
 enum Stage {
-    /// Its greeting is awaited.
-    Accepted,
-    /// A sidecar's; its first report is awaited.
-    Greeted,
+    /// The greeting was not received yet.
+    AwaitingGreeting,
+    /// Connection of a sidecar whose first report was not received yet.
+    AwaitingReport,
     Linked(Link),
 }
 
-/// What became of the input of a connection.
-enum Taken {
-    Goes,
-    Closes,
-    /// It is another coordinator's; so many bytes are its greeting.
-    IsCoordinators(usize),
+/// Result of processing the input of a connection.
+enum InputOutcome {
+    KeepOpen,
+    Close,
+    /// The peer is a coordinator; contains the length of its greeting in bytes.
+    IsCoordinator(usize),
 }
 
-/// The loop with its sockets.
+/// The event loop with its sockets.
 pub(crate) struct LinkServer {
     fleet: String,
     links: Links,
@@ -85,20 +85,21 @@
     listener: TcpListener,
     connections: Slab<Connection>,
     serve_coordinator: ServeCoordinator,
-    scratch: Vec<u8>,
-    /// Whether connections wait that no event will tell of: an event tells of new ones only.
-    accepts_wait: bool,
-    /// Position of the registry and of poison requests, and revision of the group, told last.
-    told: (u64, u64, u64),
-    /// When what changed since is to be told.
-    tell_at: Option<BootInstant>,
-    told_at: BootInstant,
+    read_buffer: Vec<u8>,
+    /// Whether connections may wait to be accepted without a further event: an event is only raised for
+    /// new ones.
+    accepts_pending: bool,
+    /// Last sent position of the registry, position of poison events, and revision of the group.
+    sent_positions: (u64, u64, u64),
+    /// When changes since then are due to be sent.
+    update_at: Option<BootInstant>,
+    updated_at: BootInstant,
     swept_at: BootInstant,
     complete: bool,
 }
 
 impl LinkServer {
-    /// A server of a bound listener.
+    /// Creates a server for a bound listener.
     pub fn new(
         fleet: &str,
         listener: std::net::TcpListener,
@@ -118,21 +119,21 @@
             listener,
             connections: Slab::new(),
             serve_coordinator,
-            scratch: vec![0; SCRATCH_BYTES],
-            accepts_wait: false,
-            told: (0, 0, 0),
-            tell_at: None,
-            told_at: now,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            accepts_pending: false,
+            sent_positions: (0, 0, 0),
+            update_at: None,
+            updated_at: now,
             swept_at: now,
             complete: false,
         })
     }
 
-    /// Serves for as long as the process runs.
+    /// Runs the event loop; never returns.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(EVENTS_CAPACITY);
         loop {
-            if let Err(error) = self.poll.poll(&mut events, Some(self.until_due())) {
+            if let Err(error) = self.poll.poll(&mut events, Some(self.time_until_due())) {
                 if error.kind() != io::ErrorKind::Interrupted {
                     warn!(%error, "poll_failed");
                 }
@@ -141,37 +142,37 @@
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
-                    WAKER => self.links.hub.woken(),
-                    Token(place) => {
+                    WAKER => self.links.hub.clear_wake_pending(),
+                    Token(key) => {
                         if event.is_writable() || event.is_error() {
-                            self.flush(place);
+                            self.flush(key);
                         }
                         if event.is_readable() || event.is_read_closed() || event.is_error() {
-                            self.read(place);
+                            self.read(key);
                         }
                     }
                 }
             }
-            if self.accepts_wait {
+            if self.accepts_pending {
                 self.accept();
             }
-            self.tell_due();
+            self.send_due_updates();
         }
     }
 
-    fn until_due(&self) -> Duration {
-        if self.accepts_wait {
+    fn time_until_due(&self) -> Duration {
+        if self.accepts_pending {
             return Duration::ZERO;
         }
         let sweep_at = self.swept_at + SWEEP_INTERVAL;
-        let due = sweep_at.min(self.links.next_loads());
-        let due = self.tell_at.map_or(due, |at| due.min(at));
+        let due = sweep_at.min(self.links.next_loads_at());
+        let due = self.update_at.map_or(due, |at| due.min(at));
         due.saturating_duration_since(BootInstant::now())
     }
 
     fn accept(&mut self) {
-        self.accepts_wait = false;
-        for _ in 0..ACCEPTS_AT_ONCE {
+        self.accepts_pending = false;
+        for _ in 0..MAX_ACCEPTS_PER_ROUND {
             match self.listener.accept() {
                 Ok((stream, peer)) => {
                     if let Err(error) = self.add(stream, peer) {
@@ -181,18 +182,18 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // Without a descriptor left it is tried again at the next sweep.
+                    // If no file descriptor is available, the next sweep retries.
                     warn!(%error, connections = self.connections.len(), "accept_failed");
                     return;
                 }
             }
         }
-        self.accepts_wait = true;
+        self.accepts_pending = true;
     }
 
     fn add(&mut self, mut stream: TcpStream, peer: SocketAddr) -> io::Result<()> {
         transport::prepare(&stream)?;
-        self.make_room();
+        self.limit_ungreeted();
         let entry = self.connections.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(entry.key()), interest)?;
@@ -204,117 +205,117 @@
             sent: 0,
             heard_at: BootInstant::now(),
             stalled_since: None,
-            stage: Stage::Accepted,
+            stage: Stage::AwaitingGreeting,
         });
         Ok(())
     }
 
-    /// Closes the oldest connection that has not greeted, if there are too many of them.
-    fn make_room(&mut self) {
+    /// Closes the oldest connection without a greeting if there are too many of them.
+    fn limit_ungreeted(&mut self) {
         let ungreeted = || {
             let all = self.connections.iter();
-            all.filter(|(_, connection)| matches!(connection.stage, Stage::Accepted))
+            all.filter(|(_, connection)| matches!(connection.stage, Stage::AwaitingGreeting))
         };
-        if ungreeted().count() < MOST_UNGREETED {
+        if ungreeted().count() < MAX_UNGREETED {
             return;
         }
         let oldest = ungreeted().min_by_key(|(_, connection)| connection.heard_at);
-        if let Some(place) = oldest.map(|(place, _)| place) {
-            self.close(place, "too_many_without_greeting");
+        if let Some(key) = oldest.map(|(key, _)| key) {
+            self.close(key, "too_many_without_greeting");
         }
     }
 
-    fn read(&mut self, place: usize) {
-        let Some(connection) = self.connections.get_mut(place) else {
+    fn read(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let mut ended = false;
+        let mut stream_ended = false;
         loop {
-            match connection.stream.read(&mut self.scratch) {
+            match connection.stream.read(&mut self.read_buffer) {
                 Ok(0) => {
-                    ended = true;
+                    stream_ended = true;
                     break;
                 }
-                Ok(count) => connection.input.extend_from_slice(&self.scratch[..count]),
+                Ok(count) => connection.input.extend_from_slice(&self.read_buffer[..count]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    ended = true;
+                    stream_ended = true;
                     break;
                 }
             }
-            if connection.input.len() > MAX_FRAME_BYTES + SCRATCH_BYTES {
-                ended = true;
+            if connection.input.len() > MAX_FRAME_BYTES + READ_BUFFER_BYTES {
+                stream_ended = true;
                 break;
             }
         }
-        match self.take_input(place) {
-            Ok(Taken::Goes) if !ended => self.flush(place),
-            Ok(Taken::Goes) => self.close(place, "ended"),
-            Ok(Taken::Closes) => self.close(place, "refused"),
-            Ok(Taken::IsCoordinators(greeting)) => self.hand_over(place, greeting),
+        match self.process_input(key) {
+            Ok(InputOutcome::KeepOpen) if !stream_ended => self.flush(key),
+            Ok(InputOutcome::KeepOpen) => self.close(key, "ended"),
+            Ok(InputOutcome::Close) => self.close(key, "refused"),
+            Ok(InputOutcome::IsCoordinator(greeting)) => self.hand_over(key, greeting),
             Err(error) => {
                 warn!(%error, "link_unreadable");
-                self.close(place, "unreadable");
+                self.close(key, "unreadable");
             }
         }
     }
 
-    /// Takes in all whole frames of a connection.
-    fn take_input(&mut self, place: usize) -> Result<Taken, FrameError> {
-        let Some(connection) = self.connections.get_mut(place) else {
-            return Ok(Taken::Goes);
+    /// Processes all complete frames of a connection.
+    fn process_input(&mut self, key: usize) -> Result<InputOutcome, FrameError> {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return Ok(InputOutcome::KeepOpen);
         };
         let Connection { input, output, stage, peer, heard_at, .. } = connection;
-        let mut taken = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &input[taken..];
+            let rest = &input[consumed..];
             let length = match stage {
-                Stage::Accepted => {
+                Stage::AwaitingGreeting => {
                     let Some((greeting, length)) = decode_frame::<Greeting>(rest)? else { break };
                     let Greeting { protocol, fleet, purpose } = greeting;
                     if protocol != PROTOCOL_VERSION || fleet != self.fleet {
                         warn!(%peer, protocol, %fleet, "greeting_refused");
-                        return Ok(Taken::Closes);
+                        return Ok(InputOutcome::Close);
                     }
                     if purpose == Purpose::Coordinator {
-                        return Ok(Taken::IsCoordinators(length));
+                        return Ok(InputOutcome::IsCoordinator(length));
                     }
-                    *stage = Stage::Greeted;
+                    *stage = Stage::AwaitingReport;
                     length
                 }
-                Stage::Greeted => {
-                    let Some((frame, length)) = next(rest)? else { break };
+                Stage::AwaitingReport => {
+                    let Some((frame, length)) = decode(rest)? else { break };
                     let ToCoordinator::Report(record) = frame else {
-                        return Ok(Taken::Closes);
+                        return Ok(InputOutcome::Close);
                     };
                     *stage = Stage::Linked(self.links.open(record, output));
                     length
                 }
                 Stage::Linked(link) => {
-                    let Some((frame, length)) = next(rest)? else { break };
+                    let Some((frame, length)) = decode(rest)? else { break };
                     let subscribed = link.is_subscribed();
-                    self.links.take(link, frame, output);
+                    self.links.handle_frame(link, frame, output);
                     if link.is_subscribed() && !subscribed {
-                        // It is told at once what is listed.
-                        self.links.tell_nodes(link, &mut NodeFrames::default(), output);
+                        // A new subscriber immediately receives the current list.
+                        self.links.send_node_updates(link, &mut NodeFrameCache::default(), output);
                     }
                     length
                 }
             };
             *heard_at = BootInstant::now();
-            taken += length;
+            consumed += length;
         }
-        input.drain(..taken);
+        input.drain(..consumed);
         if input.is_empty() {
             *input = Vec::new();
         }
-        Ok(Taken::Goes)
+        Ok(InputOutcome::KeepOpen)
     }
 
-    /// Gives the connection of another coordinator to a thread of its own.
-    fn hand_over(&mut self, place: usize, greeting: usize) {
-        let Some(mut connection) = self.connections.try_remove(place) else {
+    /// Hands the connection of another coordinator over to a separate thread.
+    fn hand_over(&mut self, key: usize, greeting: usize) {
+        let Some(mut connection) = self.connections.try_remove(key) else {
             return;
         };
         if let Err(error) = self.poll.registry().deregister(&mut connection.stream) {
@@ -330,9 +331,9 @@
         (self.serve_coordinator)(stream, connection.peer, rest);
     }
 
-    /// Sends what the socket takes.
-    fn flush(&mut self, place: usize) {
-        let Some(connection) = self.connections.get_mut(place) else {
+    /// Writes pending data until the socket would block.
+    fn flush(&mut self, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
         let before = connection.sent;
@@ -342,7 +343,7 @@
                 Ok(count) => connection.sent += count,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // A broken connection also becomes readable, which tells its end.
+                // A broken connection also becomes readable; the read detects its end.
                 Err(_) => break,
             }
         }
@@ -353,13 +354,13 @@
         } else if connection.sent > before || connection.stalled_since.is_none() {
             connection.stalled_since = Some(BootInstant::now());
         }
-        if connection.output.len() - connection.sent > MOST_WAITING_BYTES {
-            self.close(place, "takes_nothing");
+        if connection.output.len() - connection.sent > MAX_PENDING_BYTES {
+            self.close(key, "takes_nothing");
         }
     }
 
-    fn close(&mut self, place: usize, reason: &str) {
-        let Some(mut connection) = self.connections.try_remove(place) else {
+    fn close(&mut self, key: usize, reason: &str) {
+        let Some(mut connection) = self.connections.try_remove(key) else {
             return;
         };
         if let Err(error) = self.poll.registry().deregister(&mut connection.stream) {
@@ -367,12 +368,12 @@
         }
         info!(peer = %connection.peer, reason, "connection_ended");
         if let Stage::Linked(link) = &connection.stage {
-            self.links.ended(link);
+            self.links.close(link);
         }
     }
 
-    /// Tells what is due, and closes what is silent.
-    fn tell_due(&mut self) {
+    /// Sends updates that are due, and closes silent and stalled connections.
+    fn send_due_updates(&mut self) {
         let now = BootInstant::now();
         if now >= self.swept_at + SWEEP_INTERVAL {
             self.swept_at = now;
@@ -380,50 +381,52 @@
         }
         let state = self.links.hub.lock();
         let (registry, poison) = (state.registry.position(), state.poison.position());
-        let seen = (registry, poison, state.revision);
+        let current_positions = (registry, poison, state.revision);
         drop(state);
-        if seen.2 != self.told.2 {
-            self.told.2 = seen.2;
-            self.links.look_at_group();
-            self.tell_all(|links, link, output| links.tell_group(link, output));
+        if current_positions.2 != self.sent_positions.2 {
+            self.sent_positions.2 = current_positions.2;
+            self.links.update_group_frames();
+            self.send_to_all(|links, link, output| links.send_group_updates(link, output));
         }
-        if seen != self.told && self.tell_at.is_none() {
-            self.tell_at = Some((now + COLLECT_TIME).max(self.told_at + TELL_INTERVAL));
+        if current_positions != self.sent_positions && self.update_at.is_none() {
+            self.update_at = Some((now + BATCH_DELAY).max(self.updated_at + MIN_UPDATE_INTERVAL));
         }
         if self.links.is_complete() != self.complete {
             self.complete = true;
-            self.tell_at = Some(now);
+            self.update_at = Some(now);
         }
-        if self.tell_at.is_some_and(|at| at <= now) {
-            self.tell_at = None;
-            self.told_at = now;
-            self.told = seen;
-            let mut frames = NodeFrames::default();
-            self.tell_all(|links, link, output| links.tell_nodes(link, &mut frames, output));
+        if self.update_at.is_some_and(|at| at <= now) {
+            self.update_at = None;
+            self.updated_at = now;
+            self.sent_positions = current_positions;
+            let mut frames = NodeFrameCache::default();
+            self.send_to_all(|links, link, output| {
+                links.send_node_updates(link, &mut frames, output)
+            });
         }
-        for frame in self.links.loads_due() {
-            self.tell_subscribers(&frame);
+        for frame in self.links.due_load_frames() {
+            self.send_to_subscribers(&frame);
         }
     }
 
-    fn tell_all(&mut self, mut tell: impl FnMut(&Links, &mut Link, &mut Vec<u8>)) {
-        let mut told = Vec::new();
-        for (place, connection) in &mut self.connections {
+    fn send_to_all(&mut self, mut append_updates: impl FnMut(&Links, &mut Link, &mut Vec<u8>)) {
+        let mut updated = Vec::new();
+        for (key, connection) in &mut self.connections {
             let before = connection.output.len();
             if let Stage::Linked(link) = &mut connection.stage {
-                tell(&self.links, link, &mut connection.output);
+                append_updates(&self.links, link, &mut connection.output);
             }
             if connection.output.len() > before {
-                told.push(place);
+                updated.push(key);
             }
         }
-        for place in told {
-            self.flush(place);
+        for key in updated {
+            self.flush(key);
         }
     }
 
-    fn tell_subscribers(&mut self, frame: &Encoded) {
-        self.tell_all(|_, link, output| {
+    fn send_to_subscribers(&mut self, frame: &Encoded) {
+        self.send_to_all(|_, link, output| {
             if link.is_subscribed() {
                 output.extend_from_slice(frame);
             }
@@ -432,9 +435,9 @@
 
     fn sweep(&mut self, now: BootInstant) {
         self.accept();
-        let over = |connection: &Connection| {
+        let close_reason = |connection: &Connection| {
             let limit = match connection.stage {
-                Stage::Accepted | Stage::Greeted => GREETING_TIMEOUT,
+                Stage::AwaitingGreeting | Stage::AwaitingReport => GREETING_TIMEOUT,
                 Stage::Linked(_) => SILENCE_LIMIT,
             };
             let stalled = connection.stalled_since.is_some_and(|since| now >= since + STALL_LIMIT);
@@ -445,18 +448,18 @@
             }
         };
         let all = self.connections.iter();
-        let found: Vec<(usize, &str)> =
-            all.filter_map(|(place, connection)| Some((place, over(connection)?))).collect();
-        for (place, reason) in found {
-            self.close(place, reason);
+        let timed_out: Vec<(usize, &str)> =
+            all.filter_map(|(key, connection)| Some((key, close_reason(connection)?))).collect();
+        for (key, reason) in timed_out {
+            self.close(key, reason);
         }
-        // Zones of members are learned without a change of the group.
-        self.links.look_at_group();
-        self.tell_all(|links, link, output| links.tell_group(link, output));
+        // Zones of members can change without a new revision of the group.
+        self.links.update_group_frames();
+        self.send_to_all(|links, link, output| links.send_group_updates(link, output));
     }
 }
 
-fn next<T>(input: &[u8]) -> Result<Option<(T, usize)>, FrameError>
+fn decode<T>(input: &[u8]) -> Result<Option<(T, usize)>, FrameError>
 where
     T: for<'a> Readable<'a, LittleEndian>,
 {
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -1,10 +1,10 @@
-//! Connections of other coordinators, a thread each.
+//! Serves connections of other coordinators, each in its own thread.
 
 use crate::hub::Hub;
 use crate::membership::Group;
 use crate::quotas::Quotas;
 use crate::registry_loop::RegistryLoop;
-use crate::transport::{HEARD, HEARD_INTERVAL};
+use crate::transport::{RECEIPT, RECEIPT_INTERVAL};
 use mesh::{decode_frame, CoordinatorFrame, MemberId, MAX_FRAME_BYTES};
 use speedy::{LittleEndian, Readable};
 use std::io::{self, Read, Write};
@@ -16,25 +16,25 @@
 use telemetry::BootInstant;
 use tracing::{info, warn};
 
-/// Connections served at once; more are closed: ten for each of the some fifty coordinators that the
-/// largest fleet planned for has, for those that were opened anew meanwhile.
-const MOST_CONNECTIONS: usize = 512;
-/// A coordinator sends a beat twice a second. One that says nothing for this
-/// long has left, or opened another connection since this one fell silent.
+/// Maximum number of connections served at the same time; further ones are closed. Allows ten connections,
+/// including replaced ones, for each of the about fifty coordinators of the largest planned fleet.
+const MAX_CONNECTIONS: usize = 512;
+/// Coordinators send heartbeats twice a second. After this time without data, the coordinator has left, or
+/// has replaced a stalled connection by another one.
 const COORDINATOR_SILENCE_LIMIT: Duration = Duration::from_secs(30);
-/// Longest wait for room for the byte that says something was heard.
-const HEARD_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Write timeout of the receipt byte.
+const RECEIPT_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 const STACK_BYTES: usize = 192 * 1024;
 const READ_BYTES: usize = 8 * 1024;
 
-/// Reads frames from a connection.
+/// Reads frames from a stream.
 pub(crate) struct FrameReader {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl FrameReader {
-    /// The next frame; an error when the connection ended or carries something else.
+    /// Reads the next frame; fails if the connection ended or its data is not a valid frame.
     pub fn next<T>(&mut self) -> io::Result<T>
     where
         T: for<'a> Readable<'a, LittleEndian>,
@@ -44,17 +44,17 @@
             if let Some((message, length)) = decoded {
                 self.buffer.drain(..length);
                 if self.buffer.is_empty() {
-                    // A whole configuration may have passed through it.
+                    // The buffer may have grown to the size of a whole configuration.
                     self.buffer.shrink_to(READ_BYTES);
                 }
                 return Ok(message);
             }
-            let mut piece = [0; READ_BYTES];
-            let count = self.stream.read(&mut piece)?;
+            let mut chunk = [0; READ_BYTES];
+            let count = self.stream.read(&mut chunk)?;
             if count == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.buffer.extend_from_slice(&piece[..count]);
+            self.buffer.extend_from_slice(&chunk[..count]);
             if self.buffer.len() > MAX_FRAME_BYTES + READ_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
@@ -62,22 +62,22 @@
     }
 }
 
-/// What connections of other coordinators are served with.
+/// State with which connections of other coordinators are served.
 pub(crate) struct CoordinatorService {
     pub group: Arc<Group>,
     pub hub: Arc<Hub>,
     pub registry_loop: Arc<RegistryLoop>,
     pub quotas: Arc<Quotas>,
-    /// Connections served now.
+    /// Number of connections being served.
     pub open: AtomicUsize,
 }
 
 impl CoordinatorService {
-    /// Serves a connection in a thread of its own; `read` was read of it behind the greeting.
+    /// Serves a connection in a new thread; `read` is the data that was read after the greeting.
     pub fn spawn(self: &Arc<Self>, stream: TcpStream, peer: SocketAddr, read: Vec<u8>) {
-        if self.open.fetch_add(1, Ordering::Relaxed) >= MOST_CONNECTIONS {
+        if self.open.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
             self.open.fetch_sub(1, Ordering::Relaxed);
-            warn!(%peer, limit = MOST_CONNECTIONS, "coordinator_turned_away");
+            warn!(%peer, limit = MAX_CONNECTIONS, "coordinator_turned_away");
             return;
         }
         let service = self.clone();
@@ -106,21 +106,21 @@
         reader: &mut FrameReader,
         peer: SocketAddr,
     ) -> io::Result<()> {
-        stream.set_write_timeout(Some(HEARD_WRITE_TIMEOUT))?;
-        let mut said_at: Option<BootInstant> = None;
+        stream.set_write_timeout(Some(RECEIPT_WRITE_TIMEOUT))?;
+        let mut receipt_sent_at: Option<BootInstant> = None;
         loop {
             let frame = reader.next()?;
-            if said_at.is_none_or(|at| at.elapsed() >= HEARD_INTERVAL) {
-                said_at = Some(BootInstant::now());
-                stream.write_all(&[HEARD])?;
+            if receipt_sent_at.is_none_or(|at| at.elapsed() >= RECEIPT_INTERVAL) {
+                receipt_sent_at = Some(BootInstant::now());
+                stream.write_all(&[RECEIPT])?;
             }
             match frame {
                 CoordinatorFrame::Message(message) => self.group.receive(message),
                 CoordinatorFrame::Join { member } => self.group.join(MemberId(member)),
                 CoordinatorFrame::Removed { member } => info!(%peer, member, "removed_from_group"),
-                CoordinatorFrame::Evidence { node, boot_id, evidence: told } => {
-                    if let Some(evidence) = self.hub.lock().evidence.get_mut(&told.service) {
-                        evidence.told(node, boot_id, &told);
+                CoordinatorFrame::Evidence { node, boot_id, evidence: report } => {
+                    if let Some(evidence) = self.hub.lock().evidence.get_mut(&report.service) {
+                        evidence.told(node, boot_id, &report);
                     }
                 }
                 frame @ (CoordinatorFrame::ListHeartbeat { .. }
@@ -131,10 +131,10 @@
                 | CoordinatorFrame::Loads { .. }
                 | CoordinatorFrame::Poison { .. }) => self.registry_loop.receive(frame),
                 CoordinatorFrame::CreditPull { member, missing } => {
-                    self.quotas.pulled(member, &missing)
+                    self.quotas.handle_pull(member, &missing)
                 }
-                CoordinatorFrame::CreditTransfer { member, credits: gifts } => {
-                    self.quotas.given(member, &gifts)
+                CoordinatorFrame::CreditTransfer { member, credits } => {
+                    self.quotas.receive_credits(member, &credits)
                 }
             }
         }
--- a/crates/coordinator/src/loads.rs
+++ b/crates/coordinator/src/loads.rs
@@ -1,111 +1,111 @@
-//! How busy the upstreams are, for those that choose among them; soft state, pure.
+//! Loads of upstreams, for the sidecars that choose among them: soft state, without I/O.
 //!
-//! A sidecar sends too few calls to hear of each upstream often enough. So each one tells its
-//! coordinator a few bytes when its load changes, coordinators pass on what their own subscribers
-//! told, and each tells its subscribers of all. A load is only a hint: it is not repeated when it
-//! is lost, and readers let it age.
+//! A single sidecar sends too few calls to learn the load of each upstream often enough. Therefore each
+//! sidecar reports load changes to its coordinator in a few bytes, coordinators forward the loads that
+//! were reported to them, and each sends all loads to its subscribers. A load is only a hint: a lost
+//! one is not repeated, and readers discount old ones.
 
 use crate::Registry;
 use mesh::{InstanceState, NodeAddress, NodeLoad, NodeRecord, UpstreamLoad};
 use std::collections::BTreeMap;
 
-/// A load with where it came from.
+/// A load with its origin.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedLoad {
     load: UpstreamLoad,
-    /// Whether the sidecar told it here.
-    here: bool,
+    /// Whether the sidecar reported it to this coordinator.
+    is_local: bool,
     changed_at: u64,
 }
 
-/// How busy the upstreams of a service are together.
+/// Total load of the upstreams of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLoad {
-    /// Upstreams that take calls.
+    /// Upstreams that accept calls.
     pub upstreams: u32,
-    /// Calls they work on at once, at most.
+    /// Total number of calls that they execute concurrently.
     pub slots: u32,
-    /// Slots that are free.
+    /// Free slots.
     pub free: u32,
     /// Upstreams that use less than half of their slots.
     pub idle: u32,
-    /// Calls that wait for an upstream.
+    /// Queued calls.
     pub queued: u32,
-    /// Upstreams for which calls wait.
+    /// Upstreams with queued calls.
     pub with_queue: u32,
 }
 
-/// Sidecars by how far they are from a zone.
+/// Selects sidecars by their distance from a zone.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Reach<'a> {
-    /// Those in the zone; all, where no zone is named.
+pub(crate) enum ZoneDistance<'a> {
+    /// Sidecars in the zone; all sidecars if the zone is empty.
     Near(&'a str),
-    /// All others.
+    /// All other sidecars.
     Far(&'a str),
 }
 
-impl Reach<'_> {
-    /// Whether a sidecar is among them; one that is not listed is in no zone.
-    pub fn holds(self, node: &NodeAddress, registry: &Registry) -> bool {
+impl ZoneDistance<'_> {
+    /// Whether a sidecar is selected; an unlisted sidecar is in no zone.
+    pub fn includes(self, node: &NodeAddress, registry: &Registry) -> bool {
         let is_in = |zone: &str| zone.is_empty() || registry.zone(node) == Some(zone);
         match self {
-            Reach::Near(zone) => is_in(zone),
-            Reach::Far(zone) => !is_in(zone),
+            ZoneDistance::Near(zone) => is_in(zone),
+            ZoneDistance::Far(zone) => !is_in(zone),
         }
     }
 }
 
-/// The newest load of each upstream.
+/// The latest load of each upstream.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadTable {
     position: u64,
-    loads: BTreeMap<NodeAddress, Told>,
+    loads: BTreeMap<NodeAddress, ReportedLoad>,
 }
 
-impl LoadBoard {
-    /// Takes in what a sidecar told on its own link.
-    pub fn told(&mut self, address: NodeAddress, load: UpstreamLoad) {
-        self.take(address, load, true);
+impl LoadTable {
+    /// Records a load that a sidecar reported on its own link.
+    pub fn report(&mut self, address: NodeAddress, load: UpstreamLoad) {
+        self.insert(address, load, true);
     }
 
-    /// Takes in what another coordinator passed on.
-    pub fn passed_on(&mut self, loads: &[NodeLoad]) {
+    /// Records loads that another coordinator forwarded.
+    pub fn merge_forwarded(&mut self, loads: &[NodeLoad]) {
         for NodeLoad { address, load } in loads {
-            self.take(*address, *load, false);
+            self.insert(*address, *load, false);
         }
     }
 
-    fn take(&mut self, address: NodeAddress, load: UpstreamLoad, here: bool) {
+    fn insert(&mut self, address: NodeAddress, load: UpstreamLoad, is_local: bool) {
         self.position += 1;
-        self.loads.insert(address, Told { load, here, changed_at: self.position });
+        self.loads.insert(address, ReportedLoad { load, is_local, changed_at: self.position });
     }
 
-    /// Forgets the upstreams that are not listed any more.
+    /// Removes the loads of upstreams that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(&NodeAddress) -> bool) {
         self.loads.retain(|address, _| is_listed(address));
     }
 
-    /// The newest load of an upstream, if it told any.
+    /// The latest load of an upstream, if any was reported.
     pub fn load(&self, address: &NodeAddress) -> Option<UpstreamLoad> {
-        self.loads.get(address).map(|told| told.load)
+        self.loads.get(address).map(|report| report.load)
     }
 
-    /// Position of the newest load.
+    /// Position of the latest load.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Loads of some upstreams that came after a position, for subscribers.
+    /// Loads after a position, of the upstreams selected by `of`; for subscribers.
     pub fn since(&self, position: u64, of: impl Fn(&NodeAddress) -> bool) -> Vec<NodeLoad> {
-        self.newer(position, |address, _| of(address))
+        self.loads_after(position, |address, _| of(address))
     }
 
-    /// Loads that sidecars told here after a position, for other coordinators.
-    pub fn told_since(&self, position: u64) -> Vec<NodeLoad> {
-        self.newer(position, |_, told| told.here)
+    /// Loads after a position that sidecars reported to this coordinator; for other coordinators.
+    pub fn reported_since(&self, position: u64) -> Vec<NodeLoad> {
+        self.loads_after(position, |_, report| report.is_local)
     }
 
-    /// The upstreams that take calls, summed up by service.
+    /// Total load of the upstreams that accept calls, by service.
     pub fn by_service<'a>(
         &self,
         nodes: impl Iterator<Item = &'a NodeRecord>,
@@ -113,11 +113,12 @@
         let mut services: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for node in nodes.filter(|node| !node.stopping) {
             let instance = node.instance.as_ref();
-            let Some(instance) = instance.filter(|held| held.state == InstanceState::Ready) else {
+            let Some(instance) = instance.filter(|instance| instance.state == InstanceState::Ready)
+            else {
                 continue;
             };
-            let told = self.loads.get(&node.address);
-            let load = told.map_or(UpstreamLoad::default(), |told| told.load);
+            let report = self.loads.get(&node.address);
+            let load = report.map_or(UpstreamLoad::default(), |report| report.load);
             let sum = services.entry(&node.service).or_default();
             let (running, queued) = (u32::from(load.running), u32::from(load.queued));
             sum.upstreams += 1;
@@ -130,11 +131,15 @@
         services
     }
 
-    fn newer(&self, position: u64, wanted: impl Fn(&NodeAddress, &Told) -> bool) -> Vec<NodeLoad> {
-        let newer = |address: &NodeAddress, told: &Told| {
-            told.changed_at > position && wanted(address, told)
+    fn loads_after(
+        &self,
+        position: u64,
+        wanted: impl Fn(&NodeAddress, &ReportedLoad) -> bool,
+    ) -> Vec<NodeLoad> {
+        let is_wanted = |address: &NodeAddress, report: &ReportedLoad| {
+            report.changed_at > position && wanted(address, report)
         };
-        let found = self.loads.iter().filter(|(address, told)| newer(address, told));
-        found.map(|(address, told)| NodeLoad { address: *address, load: told.load }).collect()
+        let found = self.loads.iter().filter(|(address, report)| is_wanted(address, report));
+        found.map(|(address, report)| NodeLoad { address: *address, load: report.load }).collect()
     }
 }
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -1,5 +1,5 @@
-//! The consensus group as this coordinator takes part in it: its replica, its peers, and the
-//! loops that join the group and look after its members.
+//! This coordinator's participation in the consensus group: its replica, its peers, and the loops that
+//! join the group and manage its membership.
 
 use crate::autopilot::{Autopilot, Change, Facts, MemberFacts};
 use crate::hub::Hub;
@@ -18,48 +18,48 @@
 use telemetry::Clock;
 use tracing::{info, warn};
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 const WATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The group.
+/// The consensus group.
 pub(crate) struct Group {
     pub own: MemberId,
     pub replica: Replica<ConfigState>,
     transport: Arc<Transport>,
     clock: Clock,
-    heard: Mutex<BTreeMap<MemberId, Millis>>,
+    heard_at: Mutex<BTreeMap<MemberId, Millis>>,
     autopilot: Mutex<Autopilot>,
     seeds: Vec<Ipv4Addr>,
-    /// Zones of coordinators, as they told.
+    /// Zones of coordinators, as reported by them.
     zones: Mutex<BTreeMap<Ipv4Addr, String>>,
 }
 
-/// The newest configuration that a coordinator knows.
+/// The latest configuration known to this coordinator.
 pub(crate) struct KnownConfiguration {
     /// Its generation; 0 if there is none.
     pub generation: u64,
-    /// Whether a leader is known; without one this coordinator may be behind.
+    /// Whether a leader is known; otherwise this coordinator may be outdated.
     pub confirmed: bool,
-    /// The content that the sidecar which asks holds, if that is known here.
+    /// The configuration that the requesting sidecar has, if it is known here.
     pub held: Option<Bundle>,
     /// Its content.
     pub bundle: Bundle,
 }
 
-/// The canaries that a coordinator knows.
+/// The canaries known to this coordinator.
 pub(crate) struct KnownVersions {
-    /// Log position of the newest change; 0 before the first.
+    /// Log position of the latest change; 0 before the first.
     pub revision: u64,
-    /// The newest canary of each service that ever had one.
+    /// The latest canary of each service that ever had one.
     pub canaries: BTreeMap<String, CanaryRecord>,
 }
 
-/// The evacuated zones that a coordinator knows.
+/// The evacuated zones known to this coordinator.
 pub(crate) struct KnownEvacuations {
-    /// Log position of the newest change; 0 before the first.
+    /// Log position of the latest change; 0 before the first.
     pub revision: u64,
-    /// By zone.
+    /// Evacuations by zone.
     pub zones: BTreeMap<String, EvacuationRecord>,
 }
 
@@ -77,33 +77,33 @@
             replica,
             transport,
             clock,
-            heard: Mutex::default(),
+            heard_at: Mutex::default(),
             autopilot: Mutex::new(autopilot),
             seeds,
             zones: Mutex::default(),
         }
     }
 
-    /// Hands a message of a peer to the replica.
+    /// Passes a message of a peer to the replica.
     pub fn receive(&self, message: Message) {
         let from = MemberId(message.from);
         let now = self.clock.now_ms();
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).insert(from, now);
-        if self.is_known_stranger(from) {
-            // It was removed while it was away, and does not know.
+        self.heard_at.lock().unwrap_or_else(PoisonError::into_inner).insert(from, now);
+        if self.leads_without_member(from) {
+            // The member was removed while it was disconnected and has not noticed.
             self.join(from);
             return;
         }
         self.replica.step(message);
     }
 
-    fn is_known_stranger(&self, member: MemberId) -> bool {
+    fn leads_without_member(&self, member: MemberId) -> bool {
         let published = self.replica.lock();
         let membership = &published.status.membership;
         published.status.is_leader && !membership.members().any(|id| id == member.0)
     }
 
-    /// A member asks to be added: the leader remembers it, others pass it on.
+    /// Handles a join request: the leader records it, other members forward it to the leader.
     pub fn join(&self, member: MemberId) {
         let (is_leader, leader) = {
             let published = self.replica.lock();
@@ -121,23 +121,23 @@
         self.autopilot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// All members in force.
+    /// All members of the current membership.
     pub fn members(&self) -> Vec<MemberId> {
         self.replica.lock().status.membership.members().map(MemberId).collect()
     }
 
-    /// All members in force with their zones, as far as they told.
-    pub fn places(&self) -> Vec<MemberLocation> {
+    /// All current members with their zones, as far as known.
+    pub fn locations(&self) -> Vec<MemberLocation> {
         let members = self.members();
         let zones = self.zones.lock().unwrap_or_else(PoisonError::into_inner);
-        let place = |member: MemberId| MemberLocation {
+        let location = |member: MemberId| MemberLocation {
             address: member.address(),
             zone: zones.get(&member.address()).cloned().unwrap_or_default(),
         };
-        members.into_iter().map(place).collect()
+        members.into_iter().map(location).collect()
     }
 
-    /// Notes the zone of a coordinator.
+    /// Records the zone of a coordinator.
     pub fn note_zone(&self, member: MemberId, zone: &str) {
         let mut zones = self.zones.lock().unwrap_or_else(PoisonError::into_inner);
         if zones.get(&member.address()).is_none_or(|known| known != zone) {
@@ -145,24 +145,23 @@
         }
     }
 
-    /// Hands what a sidecar told of a canary on to the leader, which judges it.
-    pub fn pass_evidence(&self, node: NodeAddress, boot_id: u64, told: &VersionEvidence) {
+    /// Forwards canary evidence of a sidecar to the leader, which evaluates it.
+    pub fn forward_evidence(&self, node: NodeAddress, boot_id: u64, evidence: &VersionEvidence) {
         let leader = self.replica.lock().status.leader.map(MemberId);
         if let Some(leader) = leader.filter(|leader| *leader != self.own) {
-            let told = told.clone();
-            self.transport
-                .send(leader, CoordinatorFrame::Evidence { node, boot_id, evidence: told });
+            let evidence = evidence.clone();
+            self.transport.send(leader, CoordinatorFrame::Evidence { node, boot_id, evidence });
         }
     }
 
-    /// The newest generation known here, and whether a leader is.
+    /// The latest generation known here, and whether a leader is known.
     pub fn newest(&self) -> (u64, bool) {
         let published = self.replica.lock();
         let generation = published.machine.0.in_force_generation();
         (generation, published.status.trusted_leader().is_some())
     }
 
-    /// The newest generation this replica may tell sidecars of; 0 while it hears of no leader.
+    /// The latest generation that may be announced to sidecars; 0 while no leader is known.
     pub fn announced_generation(&self) -> u64 {
         let published = self.replica.lock();
         match published.status.trusted_leader() {
@@ -192,7 +191,7 @@
         self.replica.lock().status.is_leader
     }
 
-    /// The newest configuration known here, and the content that a sidecar holds, if known.
+    /// The latest configuration known here, and the one with the digest `held`, if known.
     pub fn configuration(&self, held: Digest) -> KnownConfiguration {
         let published = self.replica.lock();
         let machine = &published.machine.0;
@@ -207,38 +206,38 @@
 
     fn is_member(&self) -> bool {
         let published = self.replica.lock();
-        let found = published.status.membership.members().any(|id| id == self.own.0);
-        found
+        let is_member = published.status.membership.members().any(|id| id == self.own.0);
+        is_member
     }
 
-    /// Starts the loops of this group.
+    /// Starts the background loops.
     pub fn spawn(self: &Arc<Self>, trusted_source: String, hub: Arc<Hub>) {
         let group = self.clone();
         thread::spawn(move || loop {
-            thread::sleep(LOOK_INTERVAL);
-            group.look(&trusted_source);
+            thread::sleep(MAINTENANCE_INTERVAL);
+            group.maintain(&trusted_source);
         });
         let group = self.clone();
         thread::spawn(move || group.watch(&hub));
     }
 
-    /// Wakes the links after every change of the replica.
+    /// Notifies the link thread of every change of the replica.
     fn watch(&self, hub: &Hub) {
-        let mut seen = (0, None, Membership::default());
+        let mut observed = (0, None, Membership::default());
         loop {
             let published = self.replica.lock();
             let published = self.replica.wait_changed(published, WATCH_INTERVAL);
             let status = &published.status;
             let now = (status.applied, status.leader, status.membership.clone());
             drop(published);
-            if now != seen {
-                seen = now;
-                hub.bump();
+            if now != observed {
+                observed = now;
+                hub.note_group_change();
             }
         }
     }
 
-    fn look(&self, trusted_source: &str) {
+    fn maintain(&self, trusted_source: &str) {
         if !self.is_member() {
             self.ask_to_join();
             return;
@@ -282,14 +281,14 @@
     }
 
     fn facts(&self) -> Facts {
-        let heard = self.heard.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let heard_at = self.heard_at.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let published = self.replica.lock();
         let status = &published.status;
         let facts_of = |id: u64| {
             let member = MemberId(id);
             let matched = status.matched.get(&id).copied().unwrap_or(0);
             let caught_up = matched >= status.applied && matched > 0;
-            (member, MemberFacts { heard_at: heard.get(&member).copied(), caught_up })
+            (member, MemberFacts { heard_at: heard_at.get(&member).copied(), caught_up })
         };
         Facts {
             own: self.own,
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -1,4 +1,4 @@
-//! This coordinator's pools of tenants' credits, with what fills them and who asks.
+//! This coordinator's pools of tenant credits, and their refill and use.
 
 use crate::membership::Group;
 use crate::transport::Transport;
@@ -12,22 +12,22 @@
 use telemetry::Clock;
 use tracing::info;
 
-/// Tenants told of in one look at those whose calls find no credit: the worst.
-const MOST_LOGGED: usize = 5;
-/// A part that changes by more than this is logged.
-const PART_STEP: f64 = 0.05;
+/// Maximum number of tenants with refused calls that are logged at a time.
+const MAX_LOGGED_TENANTS: usize = 5;
+/// Minimum change of this coordinator's share of the quotas that is logged.
+const MIN_LOGGED_SHARE_CHANGE: f64 = 0.05;
 
 struct State {
     pools: Pools,
-    /// Generation whose limits are in force.
+    /// Generation whose limits are applied.
     generation: u64,
     names: HashMap<TenantId, String>,
-    /// Calls of each tenant that found no credit, as logged last.
-    logged: BTreeMap<TenantId, u64>,
-    logged_part: f64,
+    /// Refused calls of each tenant at the time of the last log.
+    logged_refusals: BTreeMap<TenantId, u64>,
+    logged_share: f64,
 }
 
-/// The pools and those that use them.
+/// The credit pools.
 pub(crate) struct Quotas {
     group: Arc<Group>,
     transport: Arc<Transport>,
@@ -36,14 +36,14 @@
 }
 
 impl Quotas {
-    /// Empty pools.
+    /// Creates empty pools.
     pub fn new(group: Arc<Group>, transport: Arc<Transport>, clock: Clock) -> Self {
         let state = State {
             pools: Pools::new(clock.now_ms()),
             generation: 0,
             names: HashMap::new(),
-            logged: BTreeMap::new(),
-            logged_part: 0.0,
+            logged_refusals: BTreeMap::new(),
+            logged_share: 0.0,
         };
         Quotas { group, transport, clock, state: Mutex::new(state) }
     }
@@ -52,7 +52,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers a sidecar, and asks other coordinators for what is lacking.
+    /// Answers a credit request of a sidecar, and requests missing credits from other coordinators.
     pub fn request(&self, node: NodeAddress, request: CreditRequest) -> CreditAnswer {
         let now = self.clock.now_ms();
         let Answered { answer, pulls } = self.lock().pools.request(node, request, now);
@@ -64,41 +64,41 @@
         answer
     }
 
-    /// Another coordinator lacks credit.
-    pub fn pulled(&self, peer: u64, missing: &[CreditAmount]) {
+    /// Handles a request of another coordinator for missing credits.
+    pub fn handle_pull(&self, peer: u64, missing: &[CreditAmount]) {
         let now = self.clock.now_ms();
-        let gifts = self.lock().pools.give(missing, now);
-        let frame = CoordinatorFrame::CreditTransfer { member: self.group.own.0, credits: gifts };
+        let credits = self.lock().pools.give(missing, now);
+        let frame = CoordinatorFrame::CreditTransfer { member: self.group.own.0, credits };
         self.transport.send(MemberId(peer), frame);
     }
 
-    /// Another coordinator gave credit.
-    pub fn given(&self, peer: u64, gifts: &[CreditAmount]) {
+    /// Adds credits received from another coordinator.
+    pub fn receive_credits(&self, peer: u64, credits: &[CreditAmount]) {
         let now = self.clock.now_ms();
-        self.lock().pools.receive(peer, gifts, now);
+        self.lock().pools.receive(peer, credits, now);
     }
 
-    /// Another coordinator was heard.
+    /// Notes that another coordinator was heard from.
     pub fn heard_peer(&self, peer: u64, now: Millis) {
         self.lock().pools.fleet.heard_peer(peer, now);
     }
 
-    /// Takes in the sidecars that are listed, with whether each is stopping, the other coordinators,
-    /// and which limits are in force; several times a second.
-    pub fn look(&self, listed: Vec<(NodeAddress, bool)>, peers: &[MemberId], now: Millis) {
-        self.take_limits(now);
+    /// Updates the listed sidecars, with whether each is stopping, the other coordinators, and the limits.
+    /// Called several times a second.
+    pub fn update(&self, listed: Vec<(NodeAddress, bool)>, peers: &[MemberId], now: Millis) {
+        self.update_limits(now);
         let peers: Vec<u64> = peers.iter().map(|peer| peer.0).collect();
         let mut state = self.lock();
         state.pools.tick(listed.into_iter(), &peers, now);
         let (part, lenders) = (state.pools.part(), state.pools.fleet.lenders());
         let nodes = state.pools.fleet.nodes();
-        if (part - state.logged_part).abs() > PART_STEP {
-            state.logged_part = part;
+        if (part - state.logged_share).abs() > MIN_LOGGED_SHARE_CHANGE {
+            state.logged_share = part;
             info!(part = %format_args!("{part:.3}"), lenders, nodes, "quota_part_changed");
         }
     }
 
-    fn take_limits(&self, now: Millis) {
+    fn update_limits(&self, now: Millis) {
         let generation = self.group.replica.lock().machine.0.newest_generation();
         if self.lock().generation == generation {
             return;
@@ -120,23 +120,24 @@
         info!(generation = target.generation, tenants, "quotas_in_force");
     }
 
-    /// Logs the tenants whose calls found no credit since the last look, the worst first.
-    pub fn log_scarce(&self) {
+    /// Logs the tenants whose calls were refused since the last log, those with most refusals first.
+    pub fn log_refusals(&self) {
         let mut state = self.lock();
-        let uses: Vec<TenantUse> = state.pools.uses().collect();
-        let before = |used: &TenantUse| state.logged.get(&used.tenant).copied().unwrap_or(0);
-        let since = |used: &TenantUse| used.refused.saturating_sub(before(used));
-        let mut scarce: Vec<(u64, &TenantUse)> = uses
+        let usages: Vec<TenantUse> = state.pools.uses().collect();
+        let refused_before =
+            |usage: &TenantUse| state.logged_refusals.get(&usage.tenant).copied().unwrap_or(0);
+        let refused_since = |usage: &TenantUse| usage.refused.saturating_sub(refused_before(usage));
+        let mut refusals: Vec<(u64, &TenantUse)> = usages
             .iter()
-            .map(|used| (since(used), used))
+            .map(|usage| (refused_since(usage), usage))
             .filter(|(lacking, _)| *lacking > 0)
             .collect();
-        scarce.sort_by_key(|(lacking, _)| std::cmp::Reverse(*lacking));
-        for (lacking, used) in scarce.iter().take(MOST_LOGGED) {
-            let tenant = state.names.get(&used.tenant).map_or("-", String::as_str);
-            let level = format!("{:.2}", used.level);
-            info!(%tenant, lacking, granted = used.granted, level, "quota_scarce");
+        refusals.sort_by_key(|(lacking, _)| std::cmp::Reverse(*lacking));
+        for (lacking, usage) in refusals.iter().take(MAX_LOGGED_TENANTS) {
+            let tenant = state.names.get(&usage.tenant).map_or("-", String::as_str);
+            let level = format!("{:.2}", usage.level);
+            info!(%tenant, lacking, granted = usage.granted, level, "quota_scarce");
         }
-        state.logged = uses.iter().map(|used| (used.tenant, used.refused)).collect();
+        state.logged_refusals = usages.iter().map(|usage| (usage.tenant, usage.refused)).collect();
     }
 }
--- a/crates/coordinator/src/registry.rs
+++ b/crates/coordinator/src/registry.rs
@@ -1,54 +1,54 @@
-//! Sidecars and their upstreams, as reported under a lease; soft state, pure.
+//! The registry of sidecars and their upstreams: soft state under leases, without I/O.
 //!
-//! A sidecar counts as heard directly while its own link brings signs of life. One that is only
-//! cut off from this coordinator stays listed for as long as another coordinator vouches for it.
+//! A sidecar counts as heard directly while messages arrive on its own link. A sidecar that is only
+//! disconnected from this coordinator stays listed as long as another coordinator reports it.
 
 use crate::Millis;
 use mesh::{HeardNode, Incarnation, InstanceState, NodeAddress, NodeRecord, RegistryEntry};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::info;
 
-/// Ends of incarnations remembered.
-const MARKS_KEPT: usize = 4_096;
-/// Departures remembered for readers that are behind; one further behind gets the whole.
-const GONE_KEPT: usize = 1_024;
-/// How long the last record of a sidecar that is gone is kept for its return, milliseconds.
-const LAST_RECORD_MS: u64 = 60_000;
+/// Number of incarnations whose leaving state is remembered.
+const MAX_LEAVING_STATES: usize = 4_096;
+/// Number of removals kept for readers that are behind; one that is further behind receives the complete
+/// list.
+const MAX_REMOVED: usize = 1_024;
+/// Time for which the last record of a removed sidecar is kept for its return, milliseconds.
+const LAST_RECORD_TTL_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
-struct Held {
+struct ListedNode {
     record: NodeRecord,
-    /// When the record came; what it says of the time left in which its upstream is cold counts from
-    /// then on.
-    told_at: Millis,
-    /// Last sign of life, its own or one that another coordinator vouched for.
-    heard_at: Millis,
-    /// Last sign of life on a link of its own.
-    heard_directly_at: Option<Millis>,
+    /// When the record was received; the remaining cold time of its upstream counts from then.
+    received_at: Millis,
+    /// When the sidecar was last heard from, directly or by another coordinator.
+    last_heard_at: Millis,
+    /// When the sidecar was last heard from on its own link; `None` while it is not connected.
+    last_heard_directly_at: Option<Millis>,
     changed_at: u64,
 }
 
-impl Held {
-    /// The record as it would be told now.
-    fn aged(&self, now: Millis) -> NodeRecord {
-        aged(self.record.clone(), self.told_at, now)
+impl ListedNode {
+    /// The record as of `now`.
+    fn with_age(&self, now: Millis) -> NodeRecord {
+        with_age(self.record.clone(), self.received_at, now)
     }
 
     fn is_heard_directly(&self, limit_ms: u64, now: Millis) -> bool {
-        self.heard_directly_at.is_some_and(|at| now < at + limit_ms)
+        self.last_heard_directly_at.is_some_and(|at| now < at + limit_ms)
     }
 }
 
-/// What changed since a reader's position.
+/// Changes since a reader's position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegistryChanges {
     /// The new position.
     pub position: u64,
-    /// Whether nodes not listed are gone.
+    /// Whether `changed` is the complete list, so that all other nodes are gone.
     pub whole: bool,
     /// New or changed records.
     pub changed: Vec<NodeRecord>,
-    /// Nodes that are gone.
+    /// Removed nodes.
     pub gone: Vec<NodeAddress>,
 }
 
@@ -56,13 +56,13 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     lease_ms: u64,
-    /// The newest time that it was told of.
+    /// The latest time passed to any method.
     now: Millis,
     position: u64,
-    nodes: BTreeMap<NodeAddress, Held>,
+    nodes: BTreeMap<NodeAddress, ListedNode>,
     gone: VecDeque<(u64, NodeAddress)>,
-    last: BTreeMap<NodeAddress, (NodeRecord, Millis)>,
-    marks: VecDeque<(Incarnation, InstanceState)>,
+    last_records: BTreeMap<NodeAddress, (NodeRecord, Millis)>,
+    leaving_states: VecDeque<(Incarnation, InstanceState)>,
 }
 
 impl Registry {
@@ -74,132 +74,139 @@
             position: 0,
             nodes: BTreeMap::new(),
             gone: VecDeque::new(),
-            last: BTreeMap::new(),
-            marks: VecDeque::new(),
+            last_records: BTreeMap::new(),
+            leaving_states: VecDeque::new(),
         }
     }
 
-    /// What was last known of a node, with all marks.
+    /// The last known record of a node, with the leaving state of its incarnation applied.
     pub fn last_record(&self, address: &NodeAddress) -> Option<NodeRecord> {
-        let held = self.nodes.get(address).map(|held| (&held.record, held.told_at));
-        let held = held.filter(|(record, _)| record.instance.is_some());
-        let last = self.last.get(address).map(|(record, told_at)| (record, *told_at));
-        let (record, told_at) = held.or(last)?;
-        let mut record = aged(record.clone(), told_at, self.now);
-        self.apply_marks(&mut record);
+        let listed = self.nodes.get(address).map(|listed| (&listed.record, listed.received_at));
+        let listed = listed.filter(|(record, _)| record.instance.is_some());
+        let last =
+            self.last_records.get(address).map(|(record, received_at)| (record, *received_at));
+        let (record, received_at) = listed.or(last)?;
+        let mut record = with_age(record.clone(), received_at, self.now);
+        self.apply_leaving_state(&mut record);
         Some(record)
     }
 
-    /// Takes in a report; true if it changed what others should know.
+    /// Handles a report of a sidecar; returns whether readers must be notified.
     pub fn report(&mut self, mut record: NodeRecord, now: Millis) -> bool {
         self.now = self.now.max(now);
-        self.apply_marks(&mut record);
-        self.keep_mark(&record);
+        self.apply_leaving_state(&mut record);
+        self.remember_leaving_state(&record);
         if record.instance.is_some() {
-            self.last.insert(record.address, (record.clone(), now));
+            self.last_records.insert(record.address, (record.clone(), now));
         }
-        if let Some(held) = self.nodes.get_mut(&record.address) {
-            held.heard_at = now;
-            held.heard_directly_at = Some(now);
-            let older =
-                held.record.boot_id == record.boot_id && held.record.sequence >= record.sequence;
-            if older {
+        if let Some(listed) = self.nodes.get_mut(&record.address) {
+            listed.last_heard_at = now;
+            listed.last_heard_directly_at = Some(now);
+            let is_old = listed.record.boot_id == record.boot_id
+                && listed.record.sequence >= record.sequence;
+            if is_old {
                 return false;
             }
         }
-        self.hold(record, now, now, Some(now));
+        self.insert(record, now, now, Some(now));
         true
     }
 
-    fn hold(
+    fn insert(
         &mut self,
         record: NodeRecord,
-        told_at: Millis,
-        heard_at: Millis,
-        heard_directly_at: Option<Millis>,
+        received_at: Millis,
+        last_heard_at: Millis,
+        last_heard_directly_at: Option<Millis>,
     ) {
         self.position += 1;
         let address = record.address;
         let changed_at = self.position;
-        let held = Held { record, told_at, heard_at, heard_directly_at, changed_at };
-        self.nodes.insert(address, held);
+        let listed =
+            ListedNode { record, received_at, last_heard_at, last_heard_directly_at, changed_at };
+        self.nodes.insert(address, listed);
         self.gone.retain(|(_, gone)| *gone != address);
     }
 
-    /// Takes in what another coordinator hears; true if it changed what readers should know. A
-    /// record that is heard directly here, or was heard later here, is never replaced by another
-    /// life's: lives have no order of their own.
-    pub fn vouch(&mut self, heard: HeardNode, now: Millis) -> bool {
+    /// Merges a record that another coordinator hears directly; returns whether readers must be notified.
+    /// A record of a sidecar that is heard directly here, or was heard from more recently here, is never
+    /// replaced by one with another boot id, because boot ids have no order.
+    pub fn merge_from_peer(&mut self, heard: HeardNode, now: Millis) -> bool {
         self.now = self.now.max(now);
-        let heard_at = now.saturating_sub(u64::from(heard.silent_ms));
-        if heard_at + self.lease_ms < now {
+        let last_heard_at = now.saturating_sub(u64::from(heard.silent_ms));
+        if last_heard_at + self.lease_ms < now {
             return false;
         }
         let mut record = heard.record;
-        self.apply_marks(&mut record);
-        let unheard_ms = self.unheard_ms();
-        let mut heard_directly_at = None;
-        if let Some(held) = self.nodes.get_mut(&record.address) {
-            let same_life = held.record.boot_id == record.boot_id;
-            let later_here = held.heard_at >= heard_at;
-            if !same_life && (later_here || held.is_heard_directly(unheard_ms, now)) {
+        self.apply_leaving_state(&mut record);
+        let direct_timeout_ms = self.direct_timeout_ms();
+        let mut last_heard_directly_at = None;
+        if let Some(listed) = self.nodes.get_mut(&record.address) {
+            let same_boot = listed.record.boot_id == record.boot_id;
+            let heard_later_here = listed.last_heard_at >= last_heard_at;
+            if !same_boot && (heard_later_here || listed.is_heard_directly(direct_timeout_ms, now))
+            {
                 return false;
             }
-            held.heard_at = held.heard_at.max(heard_at);
-            if same_life {
-                heard_directly_at = held.heard_directly_at;
-                if held.record.sequence >= record.sequence {
+            listed.last_heard_at = listed.last_heard_at.max(last_heard_at);
+            if same_boot {
+                last_heard_directly_at = listed.last_heard_directly_at;
+                if listed.record.sequence >= record.sequence {
                     return false;
                 }
             }
         }
-        self.keep_mark(&record);
+        self.remember_leaving_state(&record);
         if record.instance.is_some() {
-            self.last.insert(record.address, (record.clone(), now));
+            self.last_records.insert(record.address, (record.clone(), now));
         }
-        self.hold(record, now, heard_at, heard_directly_at);
+        self.insert(record, now, last_heard_at, last_heard_directly_at);
         true
     }
 
-    /// Time without a sign of life of its own after which others are asked for a sidecar.
-    fn unheard_ms(&self) -> u64 {
+    /// Time without direct messages after which a sidecar no longer counts as heard directly.
+    fn direct_timeout_ms(&self) -> u64 {
         self.lease_ms / 2
     }
 
-    /// Versions of the sidecars that are heard directly here.
+    /// Record versions of the sidecars that are heard directly here.
     pub fn heard_entries(&self, now: Millis) -> impl Iterator<Item = RegistryEntry> + '_ {
-        let limit_ms = self.unheard_ms();
-        let heard = self.nodes.values().filter(move |held| held.is_heard_directly(limit_ms, now));
-        heard.map(|held| RegistryEntry::of(&held.record))
+        let limit_ms = self.direct_timeout_ms();
+        let heard =
+            self.nodes.values().filter(move |listed| listed.is_heard_directly(limit_ms, now));
+        heard.map(|listed| RegistryEntry::of(&listed.record))
     }
 
-    /// Whether the record of this version, which another coordinator hears, is lacking here. What is
-    /// heard directly here is told by the sidecar itself.
-    pub fn lacks(&self, entry: &RegistryEntry, now: Millis) -> bool {
-        let Some(held) = self.nodes.get(&entry.address) else {
+    /// Whether a record version that another coordinator lists is missing here. A sidecar that is heard
+    /// directly here sends its records itself.
+    pub fn needs_record(&self, entry: &RegistryEntry, now: Millis) -> bool {
+        let Some(listed) = self.nodes.get(&entry.address) else {
             return true;
         };
-        match held.record.boot_id == entry.boot_id {
-            true => held.record.sequence < entry.sequence,
-            false => !held.is_heard_directly(self.unheard_ms(), now),
+        match listed.record.boot_id == entry.boot_id {
+            true => listed.record.sequence < entry.sequence,
+            false => !listed.is_heard_directly(self.direct_timeout_ms(), now),
         }
     }
 
-    /// Notes that another coordinator heard a sidecar within half a lease.
+    /// Renews the lease of a sidecar that another coordinator heard from within half a lease.
     pub fn renew(&mut self, entry: &RegistryEntry, now: Millis) {
-        let heard_at = now.saturating_sub(self.unheard_ms());
-        if let Some(held) = self.nodes.get_mut(&entry.address) {
-            if held.record.boot_id == entry.boot_id {
-                held.heard_at = held.heard_at.max(heard_at);
+        let last_heard_at = now.saturating_sub(self.direct_timeout_ms());
+        if let Some(listed) = self.nodes.get_mut(&entry.address) {
+            if listed.record.boot_id == entry.boot_id {
+                listed.last_heard_at = listed.last_heard_at.max(last_heard_at);
             }
         }
     }
 
-    /// Removes a sidecar that nobody hears any more, if it said that it stops; true if it did.
-    pub fn forget_stopped(&mut self, address: &NodeAddress, now: Millis) -> bool {
-        let limit_ms = self.unheard_ms();
-        let over = |held: &Held| held.record.stopping && !held.is_heard_directly(limit_ms, now);
-        let stopped = self.nodes.get(address).is_some_and(over);
+    /// Removes a sidecar that no coordinator hears any more, if it announced that it stops; returns whether
+    /// it did.
+    pub fn remove_stopped(&mut self, address: &NodeAddress, now: Millis) -> bool {
+        let limit_ms = self.direct_timeout_ms();
+        let is_gone = |listed: &ListedNode| {
+            listed.record.stopping && !listed.is_heard_directly(limit_ms, now)
+        };
+        let stopped = self.nodes.get(address).is_some_and(is_gone);
         if stopped {
             info!(node = %address, "node_left");
             self.remove(*address);
@@ -207,36 +214,37 @@
         stopped
     }
 
-    /// Those of some sidecars that are heard directly here.
+    /// The records of those of `nodes` that are heard directly here.
     pub fn heard(&self, nodes: &[NodeAddress], now: Millis) -> Vec<HeardNode> {
         nodes.iter().filter_map(|address| self.heard_directly(address, now)).collect()
     }
 
     fn heard_directly(&self, address: &NodeAddress, now: Millis) -> Option<HeardNode> {
-        let held = self.nodes.get(address)?;
-        let at = held.heard_directly_at.filter(|at| now < at + self.unheard_ms())?;
+        let listed = self.nodes.get(address)?;
+        let at = listed.last_heard_directly_at.filter(|at| now < at + self.direct_timeout_ms())?;
         let silent_ms = now.saturating_sub(at) as u32;
-        Some(HeardNode { record: held.aged(now), silent_ms })
+        Some(HeardNode { record: listed.with_age(now), silent_ms })
     }
 
-    /// Notes a sign of life.
+    /// Renews the lease of a sidecar that was heard from directly.
     pub fn alive(&mut self, address: &NodeAddress, boot_id: u64, now: Millis) {
-        if let Some(held) =
-            self.nodes.get_mut(address).filter(|held| held.record.boot_id == boot_id)
+        if let Some(listed) =
+            self.nodes.get_mut(address).filter(|listed| listed.record.boot_id == boot_id)
         {
-            held.heard_at = now;
-            held.heard_directly_at = Some(now);
+            listed.last_heard_at = now;
+            listed.last_heard_directly_at = Some(now);
         }
     }
 
-    /// Notes that the connection of one life of a node ended; true if that makes it gone.
+    /// Handles the end of the connection of a sidecar process; returns whether the node was removed.
     pub fn disconnected(&mut self, address: &NodeAddress, boot_id: u64) -> bool {
-        let Some(held) = self.nodes.get_mut(address).filter(|held| held.record.boot_id == boot_id)
+        let Some(listed) =
+            self.nodes.get_mut(address).filter(|listed| listed.record.boot_id == boot_id)
         else {
             return false;
         };
-        held.heard_directly_at = None;
-        let stopping = held.record.stopping;
+        listed.last_heard_directly_at = None;
+        let stopping = listed.record.stopping;
         if stopping {
             info!(node = %address, "node_left");
             self.remove(*address);
@@ -244,103 +252,114 @@
         stopping
     }
 
-    /// Removes the nodes whose lease ended; true if there were any.
+    /// Removes the nodes whose lease expired; returns whether there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
         self.now = self.now.max(now);
-        let ended = |held: &Held| held.heard_at + self.lease_ms < now;
-        let late: Vec<NodeAddress> =
-            self.nodes.iter().filter(|(_, held)| ended(held)).map(|(key, _)| *key).collect();
-        for address in &late {
-            let silent_ms = self.nodes.get(address).map(|held| now.saturating_sub(held.heard_at));
+        let is_expired = |listed: &ListedNode| listed.last_heard_at + self.lease_ms < now;
+        let expired: Vec<NodeAddress> = self
+            .nodes
+            .iter()
+            .filter(|(_, listed)| is_expired(listed))
+            .map(|(key, _)| *key)
+            .collect();
+        for address in &expired {
+            let silent_ms =
+                self.nodes.get(address).map(|listed| now.saturating_sub(listed.last_heard_at));
             info!(node = %address, ?silent_ms, lease_ms = self.lease_ms, "node_lease_ended");
             self.remove(*address);
         }
-        self.last.retain(|_, (_, kept)| now < *kept + LAST_RECORD_MS);
-        !late.is_empty()
+        self.last_records.retain(|_, (_, received_at)| now < *received_at + LAST_RECORD_TTL_MS);
+        !expired.is_empty()
     }
 
     fn remove(&mut self, address: NodeAddress) {
         self.nodes.remove(&address);
         self.position += 1;
         self.gone.push_back((self.position, address));
-        if self.gone.len() > GONE_KEPT {
+        if self.gone.len() > MAX_REMOVED {
             self.gone.pop_front();
         }
     }
 
-    fn apply_marks(&self, record: &mut NodeRecord) {
+    fn apply_leaving_state(&self, record: &mut NodeRecord) {
         let Some(instance) = &mut record.instance else {
             return;
         };
         let incarnation = instance.incarnation();
-        let mark = self.marks.iter().find(|(marked, _)| marked.may_equal(&incarnation));
-        if let Some((_, state)) = mark {
+        let leaving_state =
+            self.leaving_states.iter().find(|(known, _)| known.may_equal(&incarnation));
+        if let Some((_, state)) = leaving_state {
             instance.state = instance.state.max(*state);
         }
     }
 
-    fn keep_mark(&mut self, record: &NodeRecord) {
+    fn remember_leaving_state(&mut self, record: &NodeRecord) {
         let leaving =
             record.instance.as_ref().filter(|instance| instance.state != InstanceState::Ready);
         let Some(instance) = leaving else {
             return;
         };
         let incarnation = instance.incarnation();
-        match self.marks.iter_mut().find(|(marked, _)| marked.may_equal(&incarnation)) {
+        match self.leaving_states.iter_mut().find(|(known, _)| known.may_equal(&incarnation)) {
             Some((_, state)) => *state = instance.state,
-            None => self.marks.push_back((incarnation, instance.state)),
+            None => self.leaving_states.push_back((incarnation, instance.state)),
         }
-        if self.marks.len() > MARKS_KEPT {
-            self.marks.pop_front();
+        if self.leaving_states.len() > MAX_LEAVING_STATES {
+            self.leaving_states.pop_front();
         }
     }
 
-    /// Position of the newest change.
+    /// Position of the latest change.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// The records of all nodes that are listed.
+    /// The records of all listed nodes.
     pub fn records(&self) -> impl Iterator<Item = &NodeRecord> {
-        self.nodes.values().map(|held| &held.record)
+        self.nodes.values().map(|listed| &listed.record)
     }
 
-    /// Zone of a node that is listed.
+    /// Zone of a listed node.
     pub fn zone(&self, address: &NodeAddress) -> Option<&str> {
-        self.nodes.get(address).map(|held| held.record.zone.as_str())
+        self.nodes.get(address).map(|listed| listed.record.zone.as_str())
     }
 
     /// Whether a node is listed.
-    pub fn lists(&self, address: &NodeAddress) -> bool {
+    pub fn contains(&self, address: &NodeAddress) -> bool {
         self.nodes.contains_key(address)
     }
 
-    /// Number of nodes known.
+    /// Number of listed nodes.
     pub fn nodes(&self) -> usize {
         self.nodes.len()
     }
 
-    /// What a reader at `position` lacks; `None` stands for a reader that has nothing.
+    /// Changes for a reader at `position`; `None` for a reader without any state.
     pub fn changes_since(&self, position: Option<u64>) -> RegistryChanges {
-        let oldest_kept = self.gone.front().map_or(0, |(at, _)| *at);
-        let full_memory = self.gone.len() >= GONE_KEPT;
-        let known = position.filter(|position| !full_memory || *position >= oldest_kept);
+        let oldest_removed = self.gone.front().map_or(0, |(at, _)| *at);
+        let truncated = self.gone.len() >= MAX_REMOVED;
+        let known = position.filter(|position| !truncated || *position >= oldest_removed);
         let since = known.unwrap_or(0);
-        let news = |held: &&Held| known.is_none() || held.changed_at > since;
+        let is_changed = |listed: &&ListedNode| known.is_none() || listed.changed_at > since;
         let gone = self.gone.iter().filter(|(at, _)| known.is_some() && *at > since);
         RegistryChanges {
             position: self.position,
             whole: known.is_none(),
-            changed: self.nodes.values().filter(news).map(|held| held.aged(self.now)).collect(),
+            changed: self
+                .nodes
+                .values()
+                .filter(is_changed)
+                .map(|listed| listed.with_age(self.now))
+                .collect(),
             gone: gone.map(|(_, address)| *address).collect(),
         }
     }
 }
 
-/// A record that came at a time, as it would be told now: an upstream that was cold is so for less long.
-fn aged(mut record: NodeRecord, told_at: Millis, now: Millis) -> NodeRecord {
+/// A record received at `received_at`, as of `now`: the remaining cold time of its upstream is reduced.
+fn with_age(mut record: NodeRecord, received_at: Millis, now: Millis) -> NodeRecord {
     if let Some(instance) = &mut record.instance {
-        let age_ms = u32::try_from(now.saturating_sub(told_at)).unwrap_or(u32::MAX);
+        let age_ms = u32::try_from(now.saturating_sub(received_at)).unwrap_or(u32::MAX);
         instance.cold_remaining_ms = instance.cold_remaining_ms.saturating_sub(age_ms);
     }
     record
--- a/crates/coordinator/src/registry_loop.rs
+++ b/crates/coordinator/src/registry_loop.rs
@@ -1,4 +1,4 @@
-//! Keeps the registry and the loads: ends leases, and exchanges both with the other coordinators.
+//! Maintains the registry and the loads: expires leases, and exchanges both with other coordinators.
 
 use crate::exchange::{Outgoing, RegistryExchange};
 use crate::hub::Hub;
@@ -15,49 +15,49 @@
 use telemetry::{BootInstant, Clock};
 use tracing::info;
 
-/// Time between two looks at what changed for the other coordinators: a sidecar that leaves is known to
-/// all of them after this time and a question.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two looks at leases, and at what is not urgent.
-const LEASES_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two tellings of loads to coordinators of the own zone, and the least to others.
+/// Interval between checks for changes to send to other coordinators. All of them learn of a leaving sidecar
+/// after this time and one request.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks of leases and other tasks that are not urgent.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between load updates to coordinators of the own zone, and minimum interval to others.
 const LOADS_INTERVAL: Duration = Duration::from_millis(200);
-/// What loads for coordinators of other zones may take together, bytes a second: calls stay in their
-/// zone while it has room, and bytes between zones are dear.
+/// Maximum total rate of loads to coordinators of other zones, bytes per second: calls stay in their zone
+/// while it has capacity, and traffic between zones is expensive.
 const FAR_LOAD_BYTES_PER_S: f64 = 16_000.0;
 
-/// Time between two looks at how busy services are.
-const SUM_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between logs of services with queued calls.
+const LOAD_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Positions up to which other coordinators were told, and when they are told again.
+/// Positions up to which other coordinators were updated, and the times of the next updates.
 #[derive(Debug)]
-struct Told {
+struct SentState {
     near_loads: u64,
-    near_due: BootInstant,
+    near_due_at: BootInstant,
     far_loads: u64,
-    far_due: BootInstant,
+    far_due_at: BootInstant,
     poison: u64,
-    /// How often each of the others may have missed frames when it was told all of poison requests.
+    /// [`Transport::gaps`] of each other coordinator when it was last sent poison events.
     gaps: BTreeMap<MemberId, u64>,
-    leases_at: BootInstant,
+    leases_checked_at: BootInstant,
 }
 
-impl Told {
-    fn nothing() -> Self {
+impl SentState {
+    fn initial() -> Self {
         let now = BootInstant::now();
-        Told {
+        SentState {
             near_loads: 0,
-            near_due: now,
+            near_due_at: now,
             far_loads: 0,
-            far_due: now,
+            far_due_at: now,
             poison: 0,
             gaps: BTreeMap::new(),
-            leases_at: now,
+            leases_checked_at: now,
         }
     }
 }
 
-/// The registry's loop and what it needs.
+/// The loop that maintains the registry.
 pub(crate) struct RegistryLoop {
     zone: String,
     hub: Arc<Hub>,
@@ -87,95 +87,94 @@
     pub fn spawn(self: &Arc<Self>) {
         let registry_loop = self.clone();
         thread::spawn(move || {
-            let mut told = Told::nothing();
-            let mut summed_at = BootInstant::now();
+            let mut sent = SentState::initial();
+            let mut logged_at = BootInstant::now();
             loop {
-                registry_loop.look(&mut told);
-                if summed_at.elapsed() >= SUM_INTERVAL {
-                    summed_at = BootInstant::now();
-                    registry_loop.log_waiting();
-                    registry_loop.quotas.log_scarce();
+                registry_loop.tick(&mut sent);
+                if logged_at.elapsed() >= LOAD_LOG_INTERVAL {
+                    logged_at = BootInstant::now();
+                    registry_loop.log_queued();
+                    registry_loop.quotas.log_refusals();
                 }
-                thread::sleep(LOOK_INTERVAL);
+                thread::sleep(TICK_INTERVAL);
             }
         });
     }
 
-    /// Does what is due.
-    fn look(&self, told: &mut Told) {
+    /// Performs the tasks that are due.
+    fn tick(&self, sent: &mut SentState) {
         let now = self.clock.now_ms();
         let members = self.group.members();
         let peers: Vec<MemberId> =
             members.into_iter().filter(|member| *member != self.group.own).collect();
-        if told.leases_at.elapsed() >= LEASES_INTERVAL {
-            told.leases_at = BootInstant::now();
+        if sent.leases_checked_at.elapsed() >= LEASE_CHECK_INTERVAL {
+            sent.leases_checked_at = BootInstant::now();
             self.hub.expire(now);
             let state = self.hub.lock();
             let listed = state.registry.records().map(|node| (node.address, node.stopping));
             let listed: Vec<(NodeAddress, bool)> = listed.collect();
             drop(state);
-            self.quotas.look(listed, &peers, now);
+            self.quotas.update(listed, &peers, now);
         }
         let mut exchange = self.exchange.lock().unwrap_or_else(PoisonError::into_inner);
         let due = exchange.tick(&self.hub.lock().registry, &peers, now);
         drop(exchange);
         self.send(due);
-        self.tell_loads(told, &peers);
-        self.tell_poison(told, &peers, now);
+        self.send_loads(sent, &peers);
+        self.send_poison_events(sent, &peers, now);
     }
 
-    /// Tells other coordinators what is new of poison requests, and all of it to those that may have
-    /// missed some: a clearing that one of them never heard of would leave its quarantine with all
-    /// sidecars that it tells.
-    fn tell_poison(&self, told: &mut Told, peers: &[MemberId], now: Millis) {
-        let missed = |peer: &MemberId| {
+    /// Sends new poison events to other coordinators, and all events to those that may have missed some: a
+    /// coordinator that missed a clearing would keep the request in quarantine at all its sidecars.
+    fn send_poison_events(&self, sent: &mut SentState, peers: &[MemberId], now: Millis) {
+        let may_have_missed = |peer: &MemberId| {
             let gaps = self.transport.gaps(*peer);
-            told.gaps.insert(*peer, gaps).unwrap_or(0) != gaps
+            sent.gaps.insert(*peer, gaps).unwrap_or(0) != gaps
         };
         let (behind, others): (Vec<MemberId>, Vec<MemberId>) =
-            peers.iter().copied().partition(missed);
+            peers.iter().copied().partition(may_have_missed);
         let state = self.hub.lock();
-        let all = if behind.is_empty() { Vec::new() } else { state.poison.all(now) };
-        let news = state.poison.told_since(told.poison, now);
-        told.poison = state.poison.position();
+        let all_notices = if behind.is_empty() { Vec::new() } else { state.poison.all(now) };
+        let new_notices = state.poison.told_since(sent.poison, now);
+        sent.poison = state.poison.position();
         drop(state);
-        for (peers, notices) in [(behind, all), (others, news)] {
+        for (peers, notices) in [(behind, all_notices), (others, new_notices)] {
             if !notices.is_empty() {
                 self.send_all(&peers, CoordinatorFrame::Poison { notices });
             }
         }
     }
 
-    /// Tells other coordinators of loads that sidecars told here, if it is time to.
-    fn tell_loads(&self, told: &mut Told, peers: &[MemberId]) {
+    /// Sends loads that sidecars reported here to other coordinators, if an update is due.
+    fn send_loads(&self, sent: &mut SentState, peers: &[MemberId]) {
         let now = BootInstant::now();
         let (near, far) = self.by_zone(peers);
-        if now >= told.near_due {
-            told.near_due = now + LOADS_INTERVAL;
-            self.tell_loads_since(&mut told.near_loads, &near);
+        if now >= sent.near_due_at {
+            sent.near_due_at = now + LOADS_INTERVAL;
+            self.send_loads_since(&mut sent.near_loads, &near);
         }
-        if now >= told.far_due {
-            let loads = self.tell_loads_since(&mut told.far_loads, &far);
+        if now >= sent.far_due_at {
+            let loads = self.send_loads_since(&mut sent.far_loads, &far);
             let bytes = (loads * NodeLoad::BYTES * far.len()) as f64;
             let pause = Duration::from_secs_f64(bytes / FAR_LOAD_BYTES_PER_S);
-            told.far_due = now + pause.max(LOADS_INTERVAL);
+            sent.far_due_at = now + pause.max(LOADS_INTERVAL);
         }
     }
 
     /// Coordinators of the own zone, and all others.
     fn by_zone(&self, peers: &[MemberId]) -> (Vec<MemberId>, Vec<MemberId>) {
-        let places = self.group.places();
+        let locations = self.group.locations();
         let near = |member: &MemberId| {
-            let place = places.iter().find(|place| place.address == member.address());
-            place.is_some_and(|place| place.zone == self.zone)
+            let location = locations.iter().find(|location| location.address == member.address());
+            location.is_some_and(|location| location.zone == self.zone)
         };
         peers.iter().partition(|member| near(member))
     }
 
-    /// Tells some coordinators of loads after a position, and moves it on; returns how many.
-    fn tell_loads_since(&self, position: &mut u64, peers: &[MemberId]) -> usize {
+    /// Sends loads after a position to some coordinators and advances the position; returns their number.
+    fn send_loads_since(&self, position: &mut u64, peers: &[MemberId]) -> usize {
         let state = self.hub.lock();
-        let loads = state.loads.told_since(*position);
+        let loads = state.loads.reported_since(*position);
         *position = state.loads.position();
         drop(state);
         let count = loads.len();
@@ -189,8 +188,8 @@
         self.send(peers.iter().map(|peer| (*peer, frame.clone())));
     }
 
-    /// Logs the services of which calls wait, with the slots that are free all the same.
-    fn log_waiting(&self) {
+    /// Logs the services with queued calls, and their free slots.
+    fn log_queued(&self) {
         let state = self.hub.lock();
         let services = state.loads.by_service(state.registry.records());
         for (service, load) in services.into_iter().filter(|(_, load)| load.queued > 0) {
@@ -199,10 +198,10 @@
         }
     }
 
-    /// Takes in a frame of another coordinator.
+    /// Handles a frame of another coordinator.
     pub fn receive(&self, frame: CoordinatorFrame) {
         if let CoordinatorFrame::Loads { loads } = &frame {
-            self.hub.lock().loads.passed_on(loads);
+            self.hub.lock().loads.merge_forwarded(loads);
             return;
         }
         let now = self.clock.now_ms();
@@ -212,7 +211,7 @@
         }
         let frame = match frame {
             CoordinatorFrame::Poison { notices } => {
-                self.hub.take_poison(notices, false, now);
+                self.hub.receive_poison(notices, false, now);
                 return;
             }
             frame => frame,
--- a/crates/coordinator/src/runtime.rs
+++ b/crates/coordinator/src/runtime.rs
@@ -31,34 +31,35 @@
 use tracing::info;
 
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// On a planned stop: an answer goes out within some milliseconds, and a proposal ends within the limit.
-const LAST_REQUESTS: QuietWait =
+/// Wait for requests in progress on a planned stop: a response is sent within some milliseconds, and a
+/// proposal completes within the limit.
+const REQUEST_DRAIN: QuietWait =
     QuietWait { quiet: Duration::from_millis(200), limit: Duration::from_millis(1_500) };
 
-/// A coordinator could not start.
+/// A coordinator failed to start.
 #[derive(Debug, Snafu)]
 pub enum CoordinatorError {
-    /// Data folder.
+    /// The data folder is unusable.
     #[snafu(display("{source}"))]
     Identity {
         /// Cause.
         source: IdentityError,
     },
-    /// Stored log.
+    /// The stored log is unusable.
     #[snafu(display("{source}"))]
     Storage {
         /// Cause.
         source: StorageError,
     },
-    /// An address cannot be used.
+    /// Listening on an address failed.
     #[snafu(display("cannot listen on {address}: {reason}"))]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
         /// Cause.
         reason: String,
     },
-    /// Address for metrics.
+    /// The metrics server failed to start.
     #[snafu(display("{source}"))]
     Metrics {
         /// Cause.
@@ -66,7 +67,7 @@
     },
 }
 
-/// A coordinator that runs in threads of its own.
+/// A coordinator that runs in background threads.
 pub struct RunningCoordinator {
     group: Arc<Group>,
     requests: Arc<RequestCounter>,
@@ -91,12 +92,13 @@
     let hub = Arc::new(Hub::new(settings.lease_ms));
     let policies = CanaryPolicies::new(settings.canary_exposed_part);
     let quotas = Arc::new(Quotas::new(group.clone(), transport.clone(), clock));
-    let (for_links, of_links) = (hub.clone(), quotas.clone());
-    let links = Links::new(&settings.zone, for_links, group.clone(), clock, policies, of_links);
+    let (hub_for_links, quotas_for_links) = (hub.clone(), quotas.clone());
+    let links =
+        Links::new(&settings.zone, hub_for_links, group.clone(), clock, policies, quotas_for_links);
     let canary_loop = CanaryLoop::new(hub.clone(), group.clone(), clock, policies);
-    let (for_loop, zone) = (quotas.clone(), &settings.zone);
+    let (quotas_for_loop, zone) = (quotas.clone(), &settings.zone);
     let registry_loop =
-        RegistryLoop::new(hub.clone(), group.clone(), transport, clock, for_loop, zone);
+        RegistryLoop::new(hub.clone(), group.clone(), transport, clock, quotas_for_loop, zone);
     let registry_loop = Arc::new(registry_loop);
     let address = SocketAddrV4::new(settings.ip, settings.mesh_port);
     let listen = TcpListener::bind(address);
@@ -143,7 +145,7 @@
     transport: &Arc<Transport>,
 ) -> Result<Replica<ConfigState>, StorageError> {
     let ticks = |milliseconds: u64| (milliseconds / settings.tick_ms).max(1) as u32;
-    // Only a first start begins with members; anyone else learns them from the leader.
+    // Only initial members of a new fleet start with a membership; others receive it from the leader.
     let initial = match own.incarnation() {
         0 => {
             let seeds = settings.seeds.iter().map(|seed| MemberId::first_at(*seed.ip()).0);
@@ -189,14 +191,14 @@
         ),
         nodes: registry.gauge("registry_nodes", "Sidecars whose lease holds"),
     };
-    let (for_ready, for_loop, hub) = (group.clone(), group.clone(), hub.clone());
+    let (ready_group, gauge_group, hub) = (group.clone(), group.clone(), hub.clone());
     thread::spawn(move || loop {
-        gauges.update(&for_loop, &hub);
+        gauges.update(&gauge_group, &hub);
         thread::sleep(Duration::from_secs(1));
     });
     let server = MetricsServer {
         registry,
-        ready: Box::new(move || match for_ready.replica.lock().status.leader {
+        ready: Box::new(move || match ready_group.replica.lock().status.leader {
             Some(_) => Ok(()),
             None => Err("no leader is known".to_owned()),
         }),
@@ -230,12 +232,12 @@
 }
 
 impl RunningCoordinator {
-    /// Waits for the stop signal, hands leadership over, answers what operators asked and returns.
+    /// Waits for the stop signal, transfers leadership, completes operator requests and returns.
     pub fn wait(&self) {
         self.stop.wait();
         info!(requests = self.requests.in_flight(), "coordinator_stopping");
         self.group.replica.transfer_leadership(TRANSFER_TIMEOUT);
-        self.requests.wait_until_quiet(LAST_REQUESTS, || false);
+        self.requests.wait_until_quiet(REQUEST_DRAIN, || false);
         info!(requests = self.requests.in_flight(), "coordinator_stopped");
     }
 }
--- a/crates/coordinator/src/silence.rs
+++ b/crates/coordinator/src/silence.rs
@@ -1,33 +1,34 @@
-//! Whether a receiver that should say that it heard something has fallen silent. Pure.
+//! Detection of receivers that stopped sending receipts; without I/O.
 
 use std::time::Duration;
 use telemetry::BootInstant;
 
-/// A receiver that says nothing for this long though it was sent something is not reached. Longer
-/// than an election, so that a member short of processor time is not connected to again and again.
+/// A receiver that sends no receipt for this long after data was sent is considered unreachable. Longer than
+/// an election, so that a member short of CPU time is not reconnected repeatedly.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// What was sent on one connection, and heard of it.
+/// Tracks sent data and receipts of one connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SilenceWatch {
-    /// When the first was sent that nothing was heard after.
-    unheard_since: Option<BootInstant>,
+    /// When the first data without a later receipt was sent.
+    unacknowledged_since: Option<BootInstant>,
 }
 
 impl SilenceWatch {
-    /// Something was sent.
-    pub fn sent(&mut self, now: BootInstant) {
-        self.unheard_since.get_or_insert(now);
+    /// Notes that data was sent.
+    pub fn note_sent(&mut self, now: BootInstant) {
+        self.unacknowledged_since.get_or_insert(now);
     }
 
-    /// The receiver said something.
-    pub fn heard(&mut self) {
-        self.unheard_since = None;
+    /// Notes a receipt.
+    pub fn note_receipt(&mut self) {
+        self.unacknowledged_since = None;
     }
 
-    /// Whether the connection should give way to another.
+    /// Whether the connection should be replaced.
     pub fn is_silent(&self, now: BootInstant) -> bool {
-        let unheard = self.unheard_since.map(|since| now.saturating_duration_since(since));
-        unheard.is_some_and(|time| time >= SILENCE_LIMIT)
+        let unacknowledged =
+            self.unacknowledged_since.map(|since| now.saturating_duration_since(since));
+        unacknowledged.is_some_and(|time| time >= SILENCE_LIMIT)
     }
 }
--- a/crates/coordinator/src/transport.rs
+++ b/crates/coordinator/src/transport.rs
@@ -1,9 +1,9 @@
-//! Sending frames to other coordinators: one thread and one connection each, never blocking.
+//! Non-blocking transport of frames to other coordinators, with one thread and one connection for each.
 //!
-//! Frames go one way; the receiver sends back single bytes that say it read some. A connection can
-//! fall silent for good without a reset, while new ones work: then these stop, and another one is
-//! opened. Otherwise a leader would never again reach that member, and a cluster that lost two such
-//! connections would have no quorum.
+//! Frames are sent in one direction; the receiver returns single bytes as receipts. A connection can stall
+//! permanently without a reset while new connections work. Missing receipts reveal this, and the
+//! connection is replaced. Otherwise a leader could never reach that member again, and a group that lost
+//! two connections in this way would have no quorum.
 
 use crate::silence::SilenceWatch;
 use mesh::{encode_frame, CoordinatorFrame, Greeting, MemberId, Purpose, PROTOCOL_VERSION};
@@ -19,35 +19,35 @@
 use telemetry::BootInstant;
 use tracing::{debug, info, warn};
 
-/// Frames waiting for one peer; beyond, they are dropped, as a network would.
+/// Maximum number of frames queued for one peer; further ones are dropped, as by a network.
 const QUEUE_LENGTH: usize = 1_024;
-/// A machine that is dark answers no opening packet, also once it is back: the packet is gone, and
-/// the frames behind it wait. So it is given up after about the longest way there and back between
-/// regions, and sent anew.
+/// A SYN packet to an unreachable machine is lost and stays unanswered after the machine returns, while frames
+/// queue behind it. The attempt is therefore abandoned after about the longest round-trip time between
+/// regions, and repeated.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Frames for a peer that does not listen are dropped for this long; a process that starts is there
-/// some tens of milliseconds later.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A peer without traffic for this long gives its thread back.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
-/// Small: the threads only copy frames.
+/// Time for which frames are dropped after a failed connection attempt; a starting process listens after
+/// some tens of milliseconds.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// The thread of a peer ends after this time without frames.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Small, because the threads only copy frames.
 const STACK_BYTES: usize = 128 * 1024;
-/// A machine that went dark answers nothing; sent bytes are given up after this time.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time after which unacknowledged data closes the connection, for example if the machine is unreachable.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// The byte by which a receiver says that it read something.
-pub(crate) const HEARD: u8 = b'h';
-/// Time between two such bytes, milliseconds: about that between heartbeats of a leader.
-pub(crate) const HEARD_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two looks at what the receiver said.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// More than a receiver says between two looks.
-const HEARD_BYTES: usize = 64;
+/// The byte that a receiver sends as a receipt after reading frames.
+pub(crate) const RECEIPT: u8 = b'h';
+/// Minimum interval between receipts: about the heartbeat interval of a leader.
+pub(crate) const RECEIPT_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval between checks for receipts.
+const RECEIPT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// More than the number of receipts sent between two checks.
+const RECEIPT_BUFFER_BYTES: usize = 64;
 
-/// Queues towards all peers.
+/// Frame queues of all peers.
 pub struct Transport {
     fleet: String,
     port: u16,
@@ -55,8 +55,8 @@
     gaps: Arc<Gaps>,
 }
 
-/// How often frames may have been lost on the way to each peer: each connection that is made follows
-/// one that lost what was under way, or frames that were dropped for want of one.
+/// Number of times that frames to each peer may have been lost. Each new connection counts, because frames in
+/// transit on the previous one may be lost, or frames were dropped while there was none.
 #[derive(Default)]
 struct Gaps(Mutex<BTreeMap<Ipv4Addr, u64>>);
 
@@ -72,17 +72,17 @@
 }
 
 impl Transport {
-    /// No connections yet.
+    /// Creates a transport without connections.
     pub fn new(fleet: &str, port: u16) -> Self {
         Transport { fleet: fleet.to_owned(), port, queues: Mutex::default(), gaps: Arc::default() }
     }
 
-    /// Queues a frame for a member, or drops it.
+    /// Queues a frame for a member, or drops it if the queue is full.
     pub fn send(&self, to: MemberId, frame: CoordinatorFrame) {
         self.send_to_address(to.address(), frame);
     }
 
-    /// Queues a frame for whoever is at an address, or drops it.
+    /// Queues a frame for the coordinator at an address, or drops it if the queue is full.
     pub fn send_to_address(&self, address: Ipv4Addr, frame: CoordinatorFrame) {
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         let queue = queues.entry(address).or_insert_with(|| self.start_sender(address));
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Rises whenever a member may have missed frames and can be sent more: what is told only once must
-    /// be told it again.
+    /// Counter that increases whenever a member may have missed frames and is reachable again, so that data
+    /// that is normally sent only once must be sent again.
     pub fn gaps(&self, to: MemberId) -> u64 {
         self.gaps.count(to.address())
     }
@@ -120,7 +120,7 @@
         let gaps = self.gaps.clone();
         let spawned = builder.spawn(move || send_all(target, &greeting, &frames, &gaps));
         if let Err(error) = spawned {
-            // The frames are dropped; consensus and the exchange repeat what matters.
+            // The frames are dropped; consensus and the registry exchange resend what is needed.
             warn!(%target, %error, "peer_without_thread");
         }
         queue
@@ -137,7 +137,7 @@
     let mut retry_at = BootInstant::now();
     let mut buffer = Vec::new();
     loop {
-        let frame = match frames.recv_timeout(IDLE_LIMIT) {
+        let frame = match frames.recv_timeout(IDLE_TIMEOUT) {
             Ok(frame) => frame,
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return,
         };
@@ -145,7 +145,7 @@
             connection = open(target.into(), greeting).ok();
             match connection {
                 Some(_) => gaps.note(*target.ip()),
-                None => retry_at = BootInstant::now() + RETRY_PAUSE,
+                None => retry_at = BootInstant::now() + RECONNECT_DELAY,
             }
         }
         let Some(open) = &mut connection else { continue };
@@ -161,35 +161,35 @@
     }
 }
 
-/// A connection, with what its receiver said.
+/// A connection with its receipts.
 struct Connection {
     stream: TcpStream,
     silence: SilenceWatch,
-    look_at: BootInstant,
+    check_at: BootInstant,
 }
 
 impl Connection {
     fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)?;
         let now = BootInstant::now();
-        self.silence.sent(now);
-        if now >= self.look_at {
-            self.look_at = now + LOOK_INTERVAL;
-            self.look()?;
+        self.silence.note_sent(now);
+        if now >= self.check_at {
+            self.check_at = now + RECEIPT_CHECK_INTERVAL;
+            self.read_receipts()?;
         }
         Ok(())
     }
 
-    /// Reads what the receiver said, without waiting for more.
-    fn look(&mut self) -> io::Result<()> {
-        let mut said = [0; HEARD_BYTES];
+    /// Reads available receipts without blocking.
+    fn read_receipts(&mut self) -> io::Result<()> {
+        let mut receipts = [0; RECEIPT_BUFFER_BYTES];
         self.stream.set_nonblocking(true)?;
-        let read = self.stream.read(&mut said);
+        let read = self.stream.read(&mut receipts);
         self.stream.set_nonblocking(false)?;
         match read {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(_) => {
-                self.silence.heard();
+                self.silence.note_receipt();
                 Ok(())
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
@@ -205,14 +205,14 @@
     let mut buffer = Vec::new();
     encode_frame(greeting, &mut buffer);
     stream.write_all(&buffer)?;
-    Ok(Connection { stream, silence: SilenceWatch::default(), look_at: BootInstant::now() })
+    Ok(Connection { stream, silence: SilenceWatch::default(), check_at: BootInstant::now() })
 }
 
-/// Makes a connection notice a peer that went dark.
+/// Configures a connection so that an unreachable peer is detected.
 pub(crate) fn prepare(stream: &impl AsFd) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
--- a/crates/coordinator/tests/autopilot.rs
+++ b/crates/coordinator/tests/autopilot.rs
@@ -1,4 +1,4 @@
-//! Changing members without an operator: table of situations.
+//! Automatic membership changes, as a table of situations.
 
 use consensus::Membership;
 use coordinator::{choose_member, Autopilot, Change, Facts, MemberFacts};
@@ -13,17 +13,17 @@
     MemberId::new(Ipv4Addr::new(10, 0, 0, host), life)
 }
 
-/// Facts led by the first voter; everyone is heard and caught up but those named.
+/// Facts with the first voter as leader; all members are caught up, and all but `silent` were heard from.
 fn facts(voters: &[MemberId], learners: &[MemberId], silent: &[MemberId]) -> Facts {
     let membership = Membership {
         voters: voters.iter().map(|member| member.0).collect(),
         learners: learners.iter().map(|member| member.0).collect(),
     };
-    let of = |member: &MemberId| {
+    let facts_of = |member: &MemberId| {
         let heard_at = if silent.contains(member) { NOW - SILENCE_MS - 1 } else { NOW - 100 };
         (*member, MemberFacts { heard_at: Some(heard_at), caught_up: true })
     };
-    let members = voters.iter().chain(learners).map(of).collect();
+    let members = voters.iter().chain(learners).map(facts_of).collect();
     Facts { own: voters[0], membership, members, now: NOW }
 }
 
@@ -38,11 +38,11 @@
 #[test]
 fn steps_follow_the_situation() {
     let (a, b, c, d) = (at(1, 0), at(2, 0), at(3, 0), at(4, 9));
-    let b_again = at(2, 77);
+    let b_replaced = at(2, 77);
     let rows: Vec<(&str, Facts, Vec<MemberId>, Option<Change>)> = vec![
-        ("all is well", facts(&[a, b, c], &[d], &[]), vec![], None),
-        ("a newcomer", facts(&[a, b, c], &[], &[]), vec![d], Some(Change::AddLearners(vec![d]))),
-        ("one of few voters", facts(&[a, b], &[d], &[]), vec![], Some(Change::Promote(d))),
+        ("all members are live", facts(&[a, b, c], &[d], &[]), vec![], None),
+        ("a new member", facts(&[a, b, c], &[], &[]), vec![d], Some(Change::AddLearners(vec![d]))),
+        ("too few voters", facts(&[a, b], &[d], &[]), vec![], Some(Change::Promote(d))),
         ("a silent voter without a spare", facts(&[a, b, c], &[], &[b]), vec![], None),
         (
             "a silent voter with a spare",
@@ -50,14 +50,19 @@
             vec![],
             Some(Change::Promote(d)),
         ),
-        ("its place is taken", facts(&[a, b, c, d], &[], &[b]), vec![], Some(Change::Remove(b))),
+        (
+            "a silent voter that was replaced",
+            facts(&[a, b, c, d], &[], &[b]),
+            vec![],
+            Some(Change::Remove(b)),
+        ),
         ("one voter too many, none silent", facts(&[a, b, c, d], &[], &[]), vec![], None),
-        ("a lost disk", facts(&[a, b, c], &[], &[b]), vec![b_again], Some(Change::Remove(b))),
+        ("a lost disk", facts(&[a, b, c], &[], &[b]), vec![b_replaced], Some(Change::Remove(b))),
         (
-            "a lost disk, then the newcomer",
+            "a lost disk, after the removal",
             facts(&[a, c], &[], &[]),
-            vec![b_again],
-            Some(Change::AddLearners(vec![b_again])),
+            vec![b_replaced],
+            Some(Change::AddLearners(vec![b_replaced])),
         ),
         (
             "a lost disk of a learner",
@@ -67,19 +72,24 @@
         ),
         (
             "two wipes in a row",
-            facts(&[a, c], &[b_again], &[b_again]),
+            facts(&[a, c], &[b_replaced], &[b_replaced]),
             vec![at(2, 78)],
-            Some(Change::Remove(b_again)),
+            Some(Change::Remove(b_replaced)),
         ),
         (
             "no quorum would remain",
             facts(&[a, b, c], &[], &[b, c]),
-            vec![b_again],
-            Some(Change::AddLearners(vec![b_again])),
+            vec![b_replaced],
+            Some(Change::AddLearners(vec![b_replaced])),
+        ),
+        (
+            "disconnected together with a silent spare",
+            facts(&[a, b, c], &[d], &[c, d]),
+            vec![],
+            None,
         ),
-        ("cut off with a silent spare", facts(&[a, b, c], &[d], &[c, d]), vec![], None),
         (
-            "removed while away",
+            "removed while disconnected",
             facts(&[a, b, d], &[], &[]),
             vec![c],
             Some(Change::AddLearners(vec![c])),
--- a/crates/coordinator/tests/canaries.rs
+++ b/crates/coordinator/tests/canaries.rs
@@ -1,4 +1,4 @@
-//! What sidecars are told of canaries.
+//! Version policies that sidecars receive for each phase of a canary.
 
 use canary::Phase;
 use coordinator::CanaryPolicies;
@@ -28,12 +28,12 @@
         (Phase::Promoted, vec!["v0", "v1"]),
         (Phase::RolledBack, vec!["v2"]),
     ];
-    let mut told = String::new();
+    let mut output = String::new();
     for (phase, barred) in cases {
         let canaries = BTreeMap::from([("fares".to_owned(), record(phase, &barred))]);
         let policy = policies.of(&canaries).remove(0);
         let share = policy.candidate.map(|candidate| candidate.permille);
-        told += &format!("{}: {share:?}, barred {:?}\n", phase.as_str(), policy.barred);
+        output += &format!("{}: {share:?}, barred {:?}\n", phase.as_str(), policy.barred);
     }
     expect![[r#"
         trial: Some(35), barred []
@@ -43,5 +43,5 @@
         promoted: None, barred ["v0", "v1"]
         rolled-back: None, barred ["v2"]
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&output);
 }
--- a/crates/coordinator/tests/exchange.rs
+++ b/crates/coordinator/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Coordinators that hear different sidecars come to list the same ones.
+//! Coordinators that are connected to different sidecars converge to the same list.
 
 use coordinator::{Registry, RegistryExchange};
 use mesh::{CoordinatorFrame, InstanceRecord, InstanceState, MemberId, NodeAddress, NodeRecord};
@@ -42,15 +42,16 @@
     exchange: RegistryExchange,
 }
 
-/// Coordinators and sidecars in virtual time; a frame arrives at once or, over a cut, never.
+/// Coordinators and sidecars in virtual time. Frames between coordinators arrive immediately; sidecars reach
+/// a coordinator immediately or, over a cut link, not at all.
 struct Fleet {
     now: u64,
     coordinators: Vec<Coordinator>,
     sidecars: Vec<NodeRecord>,
-    /// Links that are cut: number of the coordinator, host of the sidecar.
+    /// Cut links: index of the coordinator, host of the sidecar.
     cut: Vec<(usize, u8)>,
     frames: Vec<&'static str>,
-    /// Kind of frames that are lost, for broken variants.
+    /// Kind of frames that are lost, in broken variants.
     lost: &'static str,
 }
 
@@ -74,10 +75,10 @@
     fn report(&mut self, record: NodeRecord) {
         self.sidecars.retain(|held| held.address != record.address);
         self.sidecars.push(record);
-        self.beat(true);
+        self.contact_all(true);
     }
 
-    fn beat(&mut self, reports: bool) {
+    fn contact_all(&mut self, reports: bool) {
         for (number, coordinator) in self.coordinators.iter_mut().enumerate() {
             let reached = |record: &&NodeRecord| {
                 !self.cut.iter().any(|(at, host)| *at == number && address(*host) == record.address)
@@ -96,7 +97,7 @@
         while self.now < end {
             self.now += STEP_MS;
             if self.now.is_multiple_of(PING_MS) {
-                self.beat(false);
+                self.contact_all(false);
             }
             self.exchange();
         }
@@ -104,28 +105,29 @@
 
     fn exchange(&mut self) {
         let ids: Vec<MemberId> = self.coordinators.iter().map(|held| held.id).collect();
-        let mut on_the_way = Vec::new();
+        let mut in_transit = Vec::new();
         for coordinator in &mut self.coordinators {
             coordinator.registry.expire(self.now);
             let peers: Vec<MemberId> =
                 ids.iter().copied().filter(|id| *id != coordinator.id).collect();
-            on_the_way.extend(coordinator.exchange.tick(&coordinator.registry, &peers, self.now));
+            in_transit.extend(coordinator.exchange.tick(&coordinator.registry, &peers, self.now));
         }
-        while let Some((to, frame)) = on_the_way.pop() {
+        while let Some((to, frame)) = in_transit.pop() {
             self.frames.push(name_of(&frame));
             if name_of(&frame) == self.lost {
                 continue;
             }
             let receiver = self.coordinators.iter_mut().find(|held| held.id == to);
-            let Coordinator { registry, exchange, .. } = receiver.expect("a known coordinator");
-            on_the_way.extend(exchange.receive(registry, frame, self.now).0);
+            let Coordinator { registry, exchange, .. } =
+                receiver.expect("frames are addressed to known coordinators");
+            in_transit.extend(exchange.receive(registry, frame, self.now).0);
         }
     }
 
     fn listed(&self, number: usize) -> Vec<(u8, u64, InstanceState)> {
         let nodes = self.coordinators[number].registry.changes_since(None).changed;
         let row = |node: &NodeRecord| {
-            let state = node.instance.as_ref().expect("each has one").state;
+            let state = node.instance.as_ref().expect("each record has an instance").state;
             (node.address.ip.octets()[3], node.sequence, state)
         };
         nodes.iter().map(row).collect()
@@ -134,11 +136,11 @@
 
 fn name_of(frame: &CoordinatorFrame) -> &'static str {
     match frame {
-        CoordinatorFrame::ListHeartbeat { .. } => "vouching",
-        CoordinatorFrame::ListChanges { .. } => "vouched",
-        CoordinatorFrame::ListRequest { .. } => "want_vouched",
-        CoordinatorFrame::RecordsRequest { .. } => "want_records",
-        CoordinatorFrame::Records { .. } => "heard",
+        CoordinatorFrame::ListHeartbeat { .. } => "list_heartbeat",
+        CoordinatorFrame::ListChanges { .. } => "list_changes",
+        CoordinatorFrame::ListRequest { .. } => "list_request",
+        CoordinatorFrame::RecordsRequest { .. } => "records_request",
+        CoordinatorFrame::Records { .. } => "records",
         _ => "other",
     }
 }
@@ -153,7 +155,7 @@
     fleet.run(20_000);
     let ready = InstanceState::Ready;
     assert_eq!(fleet.listed(0), [(1, 1, ready), (2, 1, ready)]);
-    // The sidecar dies: a lease after it was last heard by anybody, it is gone everywhere.
+    // The sidecar fails: one lease after any coordinator last heard from it, all have removed it.
     fleet.sidecars.retain(|held| held.address != address(1));
     fleet.run(LEASE_MS + PING_MS);
     for number in 0..3 {
@@ -194,7 +196,7 @@
     fleet.run(3_000);
     fleet.frames.clear();
     fleet.run(10_000);
-    assert_eq!(fleet.frames, ["vouching"; 120]);
+    assert_eq!(fleet.frames, ["list_heartbeat"; 120]);
 }
 
 #[test]
@@ -210,25 +212,25 @@
     }
 }
 
-/// Cuts, kills and starts at random, and then a lease without any; what the coordinators list and
-/// should list.
+/// The lists of the coordinators after random cuts, failures and restarts followed by one lease without
+/// any, and the expected list.
 struct Outcome {
     listed: Vec<Vec<(u8, u64, InstanceState)>>,
     expected: Vec<u8>,
 }
 
 impl Outcome {
-    /// Whether all list the same, and just the sidecars that are there.
+    /// Whether all lists are equal and contain exactly the live sidecars.
     fn holds(&self) -> bool {
         let hosts = |listed: &Vec<(u8, u64, InstanceState)>| -> Vec<u8> {
             listed.iter().map(|row| row.0).collect()
         };
-        let first = self.listed.first().expect("a coordinator");
+        let first = self.listed.first().expect("there are coordinators");
         self.listed.iter().all(|listed| listed == first && hosts(listed) == self.expected)
     }
 }
 
-/// `heals`: whether cuts end at last, or one coordinator stays cut off from some sidecars.
+/// `heals`: whether all cuts end, or one coordinator stays disconnected from some sidecars.
 fn after_faults(seed: u64, lost: &'static str, heals: bool) -> Outcome {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut fleet = Fleet::new(random.u8(2..7));
@@ -259,7 +261,7 @@
         true => fleet.cut.clear(),
         false => fleet.cut = vec![(0, 1), (0, 2), (0, 3)],
     }
-    fleet.beat(true);
+    fleet.contact_all(true);
     fleet.run(LEASE_MS + 2 * PING_MS);
     let mut expected: Vec<u8> =
         fleet.sidecars.iter().map(|held| held.address.ip.octets()[3]).collect();
@@ -283,8 +285,8 @@
 
 #[test]
 fn broken_variants_are_noticed() {
-    for lost in ["heard", "vouching", "vouched", "want_vouched", "want_records"] {
+    for lost in ["records", "list_heartbeat", "list_changes", "list_request", "records_request"] {
         let noticed = (0..200).find(|seed| !after_faults(*seed, lost, false).holds());
-        assert!(noticed.is_some(), "frames `{lost}` are lost, and no seed shows it");
+        assert!(noticed.is_some(), "no seed detects the loss of `{lost}` frames");
     }
 }
--- a/crates/coordinator/tests/large_exchange.rs
+++ b/crates/coordinator/tests/large_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of 24 coordinators that each hear a part of a large fleet: what it costs, and that all
-//! list the same.
+//! The exchange between 24 coordinators that are each connected to a part of a large fleet: its cost, and
+//! that all lists converge.
 
 use coordinator::{Registry, RegistryExchange};
 use mesh::{encode_frame, InstanceRecord, InstanceState, MemberId, NodeAddress, NodeRecord};
@@ -11,7 +11,7 @@
 const PING_MS: u64 = 1_000;
 const COORDINATORS: usize = 24;
 const LINKS: usize = 4;
-/// A quick one; the sizes planned for have a test of their own.
+/// A small fleet for a fast test; the planned fleet sizes have a separate test.
 const SIDECARS: usize = 240;
 
 fn member(number: usize) -> MemberId {
@@ -68,7 +68,7 @@
         fleet
     }
 
-    /// Coordinators that a sidecar is linked to.
+    /// Coordinators to which a sidecar is linked.
     fn links(number: usize) -> impl Iterator<Item = usize> {
         (0..LINKS).map(move |link| (number * 7 + link * 5 + number / COORDINATORS) % COORDINATORS)
     }
@@ -103,33 +103,36 @@
 
     fn exchange(&mut self) {
         let ids: Vec<MemberId> = (0..COORDINATORS).map(member).collect();
-        // Connections keep the order of what is sent.
-        let mut on_the_way = VecDeque::new();
+        // Connections deliver frames in order.
+        let mut in_transit = VecDeque::new();
         for (number, coordinator) in self.coordinators.iter_mut().enumerate() {
             coordinator.registry.expire(self.now);
             let peers: Vec<MemberId> =
                 ids.iter().copied().filter(|id| *id != member(number)).collect();
-            on_the_way.extend(coordinator.exchange.tick(&coordinator.registry, &peers, self.now));
+            in_transit.extend(coordinator.exchange.tick(&coordinator.registry, &peers, self.now));
         }
-        while let Some((to, frame)) = on_the_way.pop_front() {
+        while let Some((to, frame)) = in_transit.pop_front() {
             let mut encoded = Vec::new();
             encode_frame(&frame, &mut encoded);
             self.frames += 1;
             self.bytes += encoded.len();
-            let number = ids.iter().position(|id| *id == to).expect("a known coordinator");
+            let number = ids
+                .iter()
+                .position(|id| *id == to)
+                .expect("frames are addressed to known coordinators");
             let Coordinator { registry, exchange } = &mut self.coordinators[number];
-            on_the_way.extend(exchange.receive(registry, frame, self.now).0);
+            in_transit.extend(exchange.receive(registry, frame, self.now).0);
         }
     }
 
-    /// Frames and bytes of a time.
+    /// Frames and bytes sent during a period.
     fn cost_of(&mut self, time_ms: u64) -> (usize, usize) {
         (self.frames, self.bytes) = (0, 0);
         self.run(time_ms);
         (self.frames, self.bytes)
     }
 
-    /// Whether all coordinators list just the sidecars that are there, in their newest versions.
+    /// Whether all coordinators list exactly the live sidecars, in their latest versions.
     fn agrees(&self) -> bool {
         let mut expected: Vec<(NodeAddress, u64, u64)> =
             self.sidecars.iter().map(|held| (held.address, held.boot_id, held.sequence)).collect();
@@ -144,31 +147,33 @@
     }
 }
 
-/// The calm, a change, a coordinator that starts again, all of them, half of the sidecars.
+/// Checks the cost of steady state, of one change, and of restarts of one coordinator, of half of the
+/// sidecars and of all coordinators.
 fn costs_are_linear(sidecars: usize) {
     let pairs = COORDINATORS * (COORDINATORS - 1);
     let mut fleet = Fleet::new(sidecars);
     fleet.run(1_000);
     assert!(fleet.agrees(), "a second after the start of all");
 
-    // In the calm: a beat for each pair, twice a second, whatever the number of sidecars.
+    // Steady state: one heartbeat per pair, twice a second, regardless of the number of sidecars.
     let (frames, bytes) = fleet.cost_of(10_000);
     assert_eq!(frames, pairs * 20);
     assert!(bytes < pairs * 20 * 60, "{bytes}");
-    assert!(fleet.agrees(), "after ten seconds of calm");
+    assert!(fleet.agrees(), "after ten seconds without changes");
 
-    // One sidecar changes: those that hear it tell all, and each that lacks the record asks for it.
+    // One sidecar changes: the coordinators linked to it announce the change to all, and each that lacks the
+    // record requests it.
     let (links, record) = (LINKS, record(3, 1, 2));
     fleet.sidecars[3] = record.clone();
     for link in Fleet::links(3) {
         fleet.coordinators[link].registry.report(record.clone(), fleet.now);
     }
     let (frames, _) = fleet.cost_of(500);
-    let most = pairs + links * COORDINATORS + 2 * COORDINATORS;
-    assert!(frames <= most, "{frames} of {most}");
+    let limit = pairs + links * COORDINATORS + 2 * COORDINATORS;
+    assert!(frames <= limit, "{frames} frames, limit {limit}");
     assert!(fleet.agrees(), "after one change");
 
-    // A coordinator starts again and lists all within a look.
+    // A restarted coordinator lists all sidecars within 600 ms.
     fleet.coordinators[5] = Coordinator::new(5, 2);
     for (number, record) in fleet.sidecars.iter().enumerate() {
         if Fleet::links(number).any(|link| link == 5) {
@@ -177,9 +182,9 @@
     }
     let (_, bytes) = fleet.cost_of(600);
     assert!(bytes < sidecars * 1_000 + pairs * 500, "{bytes}");
-    assert!(fleet.agrees(), "after a coordinator's start");
+    assert!(fleet.agrees(), "after a coordinator's restart");
 
-    // Half of the sidecars start again.
+    // Half of the sidecars restart.
     for number in 0..sidecars / 2 {
         fleet.sidecars[number] = self::record(number, 2, 1);
     }
@@ -190,18 +195,18 @@
     }
     fleet.report_all();
     let (_, bytes) = fleet.cost_of(1_000);
-    // Each record to each coordinator, and its version from those that hear it.
+    // Each record is sent to each coordinator, and its version by each coordinator that is linked to it.
     let each = COORDINATORS * (150 + LINKS * 30);
     assert!(bytes < sidecars / 2 * each + pairs * 500, "{bytes}");
-    assert!(fleet.agrees(), "after half of the sidecars started again");
+    assert!(fleet.agrees(), "after half of the sidecars restarted");
 
-    // All coordinators at once.
+    // All coordinators restart at once.
     for number in 0..COORDINATORS {
         fleet.coordinators[number] = Coordinator::new(number, 3);
     }
     fleet.report_all();
     fleet.run(1_000);
-    assert!(fleet.agrees(), "after all coordinators started again");
+    assert!(fleet.agrees(), "after all coordinators restarted");
 }
 
 #[test]
@@ -219,10 +224,10 @@
 fn a_sidecar_that_dies_is_gone_everywhere_a_lease_later_and_not_before() {
     let mut fleet = Fleet::new(60);
     fleet.run(2_000);
-    let dead = fleet.sidecars.pop().expect("there are some");
+    let dead = fleet.sidecars.pop().expect("the fleet has sidecars");
     fleet.run(LEASE_MS - PING_MS);
     let lists = |fleet: &Fleet| {
-        fleet.coordinators.iter().filter(|held| held.registry.lists(&dead.address)).count()
+        fleet.coordinators.iter().filter(|held| held.registry.contains(&dead.address)).count()
     };
     assert_eq!(lists(&fleet), COORDINATORS);
     fleet.run(2 * PING_MS);
--- a/crates/coordinator/tests/loads.rs
+++ b/crates/coordinator/tests/loads.rs
@@ -1,6 +1,6 @@
-//! What subscribers and other coordinators are told of loads.
+//! Loads that are sent to subscribers and other coordinators.
 
-use coordinator::LoadBoard;
+use coordinator::LoadTable;
 use expect_test::expect;
 use mesh::{NodeAddress, NodeLoad, UpstreamLoad};
 use std::net::Ipv4Addr;
@@ -13,7 +13,7 @@
     NodeLoad { address: address(host), load: UpstreamLoad::new(running, queued, 100) }
 }
 
-fn shown(loads: &[NodeLoad]) -> String {
+fn format_loads(loads: &[NodeLoad]) -> String {
     let row =
         |node: &NodeLoad| format!("{} {}+{}", node.address.ip, node.load.running, node.load.queued);
     loads.iter().map(row).collect::<Vec<_>>().join(", ")
@@ -21,36 +21,37 @@
 
 #[test]
 fn each_load_is_told_once_and_only_by_the_coordinator_that_heard_it() {
-    let mut board = LoadBoard::default();
-    board.told(address(1), UpstreamLoad::new(3, 0, 100));
-    board.passed_on(&[load(2, 9, 4)]);
-    let position = board.position();
-    board.told(address(3), UpstreamLoad::new(1, 0, 100));
-    board.told(address(3), UpstreamLoad::new(2, 0, 100));
-    let told = [board.since(0, |_| true), board.told_since(0), board.since(position, |_| true)];
+    let mut table = LoadTable::default();
+    table.report(address(1), UpstreamLoad::new(3, 0, 100));
+    table.merge_forwarded(&[load(2, 9, 4)]);
+    let position = table.position();
+    table.report(address(3), UpstreamLoad::new(1, 0, 100));
+    table.report(address(3), UpstreamLoad::new(2, 0, 100));
+    let loads_sent =
+        [table.since(0, |_| true), table.reported_since(0), table.since(position, |_| true)];
     expect![[r#"
         10.0.0.1 3+0, 10.0.0.2 9+4, 10.0.0.3 2+0
         10.0.0.1 3+0, 10.0.0.3 2+0
         10.0.0.3 2+0"#]]
-    .assert_eq(&told.map(|loads| shown(&loads)).join("\n"));
-    assert!(board.since(board.position(), |_| true).is_empty());
+    .assert_eq(&loads_sent.map(|loads| format_loads(&loads)).join("\n"));
+    assert!(table.since(table.position(), |_| true).is_empty());
 }
 
 #[test]
 fn an_upstream_that_another_coordinator_hears_now_is_not_passed_on_any_more() {
-    let mut board = LoadBoard::default();
-    board.told(address(1), UpstreamLoad::new(3, 0, 100));
-    board.passed_on(&[load(1, 4, 0)]);
-    assert!(board.told_since(0).is_empty());
-    assert_eq!(shown(&board.since(0, |_| true)), "10.0.0.1 4+0");
+    let mut table = LoadTable::default();
+    table.report(address(1), UpstreamLoad::new(3, 0, 100));
+    table.merge_forwarded(&[load(1, 4, 0)]);
+    assert!(table.reported_since(0).is_empty());
+    assert_eq!(format_loads(&table.since(0, |_| true)), "10.0.0.1 4+0");
 }
 
 #[test]
 fn what_is_not_listed_is_forgotten() {
-    let mut board = LoadBoard::default();
-    board.passed_on(&[load(1, 4, 0), load(2, 5, 0)]);
-    board.retain(|listed| *listed == address(2));
-    assert_eq!(shown(&board.since(0, |_| true)), "10.0.0.2 5+0");
+    let mut table = LoadTable::default();
+    table.merge_forwarded(&[load(1, 4, 0), load(2, 5, 0)]);
+    table.retain(|listed| *listed == address(2));
+    assert_eq!(format_loads(&table.since(0, |_| true)), "10.0.0.2 5+0");
 }
 
 #[test]
--- a/crates/coordinator/tests/registry.rs
+++ b/crates/coordinator/tests/registry.rs
@@ -1,4 +1,5 @@
-//! The registry of sidecars: leases, lives, marks that stick, and what readers are told.
+//! The registry of sidecars: leases, boot ids, persistent leaving states, and the changes that readers
+//! receive.
 
 use coordinator::Registry;
 use mesh::{HeardNode, InstanceRecord, InstanceState, NodeAddress, NodeRecord};
@@ -48,7 +49,7 @@
     registry.alive(&address(1), 7, 2_000);
     assert!(!registry.expire(5_000));
     registry.alive(&address(1), 6, 5_000);
-    assert!(registry.expire(5_001), "another life's sign counts for nothing");
+    assert!(registry.expire(5_001), "messages of another boot do not renew the lease");
     assert_eq!(registry.nodes(), 0);
 }
 
@@ -60,7 +61,10 @@
     assert_eq!(registry.nodes(), 1);
     let stopping = NodeRecord { stopping: true, ..record(1, 7, 2, None) };
     registry.report(stopping, 10);
-    assert!(!registry.disconnected(&address(1), 6), "a late end of an earlier life");
+    assert!(
+        !registry.disconnected(&address(1), 6),
+        "the delayed end of an earlier process's connection"
+    );
     assert!(registry.disconnected(&address(1), 7));
     assert_eq!(registry.nodes(), 0);
 }
@@ -69,13 +73,13 @@
 fn the_end_of_an_incarnation_outlives_its_sidecar() {
     let mut registry = Registry::new(LEASE_MS);
     registry.report(record(1, 7, 1, Some(("i-1", InstanceState::Draining))), 0);
-    // The sidecar is killed, forgets, and hears a late heartbeat.
+    // The sidecar is killed, loses its state, and receives a delayed heartbeat of its upstream.
     registry.report(record(1, 8, 1, None), 1_000);
-    let last = registry.last_record(&address(1)).expect("kept");
-    assert_eq!(last.instance.expect("kept").state, InstanceState::Draining);
+    let last = registry.last_record(&address(1)).expect("the last record is kept");
+    assert_eq!(last.instance.expect("the last record is kept").state, InstanceState::Draining);
     registry.report(record(1, 8, 2, Some(("i-1", InstanceState::Ready))), 1_500);
     assert_eq!(state_of(&registry, 1), Some(InstanceState::Draining));
-    // A new incarnation at the same place is not bound by it.
+    // The leaving state does not apply to a new incarnation at the same address.
     registry.report(record(1, 8, 3, Some(("i-2", InstanceState::Ready))), 2_000);
     assert_eq!(state_of(&registry, 1), Some(InstanceState::Ready));
 }
@@ -89,7 +93,7 @@
     assert_eq!(registry.position(), position);
 }
 
-/// A reader that follows deltas.
+/// A reader that applies deltas.
 #[derive(Default)]
 struct Reader {
     position: Option<u64>,
@@ -158,13 +162,13 @@
     found.map(|record| (record.boot_id, record.sequence))
 }
 
-/// One row: what is known here, what another coordinator vouches for, what is listed after it.
-struct VouchCase {
+/// A test case: the record known here, the record reported by another coordinator, and the expected entry.
+struct MergeCase {
     name: &'static str,
-    /// Life, sequence, and when it was reported here.
+    /// Boot id, sequence, and time of the report here.
     known: Option<(u64, u64, u64)>,
     connected: bool,
-    vouched: HeardNode,
+    reported: HeardNode,
     listed: Option<(u64, u64)>,
 }
 
@@ -172,53 +176,53 @@
 fn another_coordinator_vouches_for_what_is_not_heard_here() {
     const NOW: u64 = 10_000;
     let cases = [
-        VouchCase {
+        MergeCase {
             name: "an unknown sidecar",
             known: None,
             connected: false,
-            vouched: heard(1, 7, 3, 100),
+            reported: heard(1, 7, 3, 100),
             listed: Some((7, 3)),
         },
-        VouchCase {
-            name: "an unknown sidecar that nobody heard for a lease",
+        MergeCase {
+            name: "an unknown sidecar whose lease expired",
             known: None,
             connected: false,
-            vouched: heard(1, 7, 3, 3_001),
+            reported: heard(1, 7, 3, 3_001),
             listed: None,
         },
-        VouchCase {
-            name: "a newer record of the same life",
+        MergeCase {
+            name: "a newer record of the same boot",
             known: Some((7, 3, 9_000)),
             connected: true,
-            vouched: heard(1, 7, 4, 100),
+            reported: heard(1, 7, 4, 100),
             listed: Some((7, 4)),
         },
-        VouchCase {
-            name: "an older record of the same life",
+        MergeCase {
+            name: "an older record of the same boot",
             known: Some((7, 3, 9_000)),
             connected: false,
-            vouched: heard(1, 7, 2, 100),
+            reported: heard(1, 7, 2, 100),
             listed: Some((7, 3)),
         },
-        VouchCase {
-            name: "another life of a sidecar that is heard directly",
+        MergeCase {
+            name: "another boot of a sidecar that is heard directly",
             known: Some((7, 3, 9_500)),
             connected: true,
-            vouched: heard(1, 6, 90, 0),
+            reported: heard(1, 6, 90, 0),
             listed: Some((7, 3)),
         },
-        VouchCase {
-            name: "a later life of a sidecar that is not heard any more",
+        MergeCase {
+            name: "a later boot of a sidecar that is no longer heard",
             known: Some((7, 3, 9_000)),
             connected: false,
-            vouched: heard(1, 8, 1, 100),
+            reported: heard(1, 8, 1, 100),
             listed: Some((8, 1)),
         },
-        VouchCase {
-            name: "an earlier life of a sidecar that is not heard any more",
+        MergeCase {
+            name: "an earlier boot of a sidecar that is no longer heard",
             known: Some((7, 3, 9_000)),
             connected: false,
-            vouched: heard(1, 6, 90, 1_400),
+            reported: heard(1, 6, 90, 1_400),
             listed: Some((7, 3)),
         },
     ];
@@ -232,9 +236,14 @@
             }
         }
         let before = version_of(&registry, 1);
-        let changed = registry.vouch(case.vouched, NOW);
+        let changed = registry.merge_from_peer(case.reported, NOW);
         assert_eq!(version_of(&registry, 1), case.listed, "{}", case.name);
-        assert_eq!(changed, before != case.listed, "{}: readers are told of changes", case.name);
+        assert_eq!(
+            changed,
+            before != case.listed,
+            "{}: readers are notified of changes",
+            case.name
+        );
     }
 }
 
@@ -245,12 +254,15 @@
     assert_eq!(registry.heard_entries(1_000).count(), 1);
     assert_eq!(registry.heard_entries(1_500).count(), 0);
     for at in [1_500, 2_500, 3_500, 4_500] {
-        registry.vouch(HeardNode { record: record(1, 7, 1, None), silent_ms: 400 }, at);
+        registry.merge_from_peer(HeardNode { record: record(1, 7, 1, None), silent_ms: 400 }, at);
         registry.expire(at + 500);
         assert_eq!(registry.nodes(), 1);
-        assert!(registry.heard(&[address(1)], at).is_empty(), "what others hear is not told on");
+        assert!(
+            registry.heard(&[address(1)], at).is_empty(),
+            "sidecars heard by others are not reported"
+        );
     }
-    assert!(!registry.expire(7_100), "a lease from when it was last heard");
+    assert!(!registry.expire(7_100), "the lease counts from when it was last heard from");
     assert!(registry.expire(7_101));
 }
 
@@ -258,53 +270,54 @@
 fn a_mark_that_another_coordinator_vouches_for_sticks() {
     let mut registry = Registry::new(LEASE_MS);
     let leaving = record(1, 7, 4, Some(("i-1", InstanceState::Draining)));
-    registry.vouch(HeardNode { record: leaving, silent_ms: 0 }, 0);
-    // Its sidecar was killed, forgot, and hears a late heartbeat.
+    registry.merge_from_peer(HeardNode { record: leaving, silent_ms: 0 }, 0);
+    // Its sidecar was killed, lost its state, and receives a delayed heartbeat.
     registry.report(record(1, 8, 1, Some(("i-1", InstanceState::Ready))), 500);
     assert_eq!(state_of(&registry, 1), Some(InstanceState::Draining));
 }
 
 #[test]
 fn an_end_binds_the_start_that_it_was_told_of() {
-    let born = |sequence, state, born_ms| {
+    let record_started_at = |sequence, state, born_ms| {
         let mut record = record(1, 7, sequence, Some(("i-1", state)));
-        record.instance.as_mut().expect("it has one").born_ms = born_ms;
+        record.instance.as_mut().expect("the record has an instance").born_ms = born_ms;
         record
     };
     let mut registry = Registry::new(LEASE_MS);
-    registry.report(born(1, InstanceState::Left, 1_000), 0);
-    registry.report(born(2, InstanceState::Ready, 1_000), 10);
+    registry.report(record_started_at(1, InstanceState::Left, 1_000), 0);
+    registry.report(record_started_at(2, InstanceState::Ready, 1_000), 10);
     let state = |registry: &Registry| {
-        let record = registry.last_record(&address(1)).expect("known");
-        record.instance.expect("it has one").state
+        let record = registry.last_record(&address(1)).expect("the sidecar is known");
+        record.instance.expect("the record has an instance").state
     };
-    assert_eq!(state(&registry), InstanceState::Left, "the same start");
-    registry.report(born(3, InstanceState::Ready, 9_000), 20);
-    assert_eq!(state(&registry), InstanceState::Ready, "it started again under its id");
+    assert_eq!(state(&registry), InstanceState::Left, "the same incarnation");
+    registry.report(record_started_at(3, InstanceState::Ready, 9_000), 20);
+    assert_eq!(state(&registry), InstanceState::Ready, "a restart with the same id");
 }
 
 #[test]
 fn an_upstream_is_cold_for_as_long_as_it_told_and_no_longer_for_those_who_hear_later() {
     let mut cold = record(1, 7, 1, Some(("i-1", InstanceState::Ready)));
-    cold.instance.as_mut().expect("it has one").cold_remaining_ms = 3_000;
+    cold.instance.as_mut().expect("the record has an instance").cold_remaining_ms = 3_000;
     let mut registry = Registry::new(LEASE_MS);
     registry.report(cold, 10_000);
-    let remaining =
-        |record: &NodeRecord| record.instance.as_ref().expect("it has one").cold_remaining_ms;
+    let remaining = |record: &NodeRecord| {
+        record.instance.as_ref().expect("the record has an instance").cold_remaining_ms
+    };
     let told = |registry: &Registry| remaining(&registry.changes_since(None).changed[0]);
     assert_eq!(told(&registry), 3_000);
     registry.expire(11_000);
     assert_eq!(told(&registry), 2_000);
     let heard = registry.heard(&[address(1)], 11_200);
     assert_eq!(remaining(&heard[0].record), 1_800, "for other coordinators");
-    // What another coordinator vouches for ages here from then on.
+    // The remaining cold time of a record reported by another coordinator continues to decrease here.
     let mut other = Registry::new(LEASE_MS);
-    other.vouch(heard[0].clone(), 11_300);
+    other.merge_from_peer(heard[0].clone(), 11_300);
     other.expire(12_300);
     assert_eq!(told(&other), 800);
-    // Its sidecar starts again: the upstream is warm.
+    // Its sidecar restarts after the cold time: the upstream is warm.
     registry.alive(&address(1), 7, 13_900);
     registry.expire(14_000);
-    let last = registry.last_record(&address(1)).expect("known");
+    let last = registry.last_record(&address(1)).expect("the sidecar is known");
     assert_eq!(remaining(&last), 0);
 }
--- a/crates/coordinator/tests/simulated_membership.rs
+++ b/crates/coordinator/tests/simulated_membership.rs
@@ -1,5 +1,5 @@
-//! Coordinators that lose machines and disks, in one thread with seeded faults: what was
-//! acknowledged is never lost, and the group mends itself without an operator.
+//! Single-threaded simulation of coordinators that lose machines and disks, with seeded faults.
+//! Acknowledged commands must never be lost, and the group must recover without an operator.
 
 use consensus::{
     Config, Entry, HardState, Membership, Message, Payload, ProposeError, Raft, Snapshot,
@@ -14,15 +14,15 @@
 const ELECTION_TICKS: u32 = 12;
 const SILENCE_MS: u64 = 2_000;
 const VOTERS: usize = 3;
-/// Time after its return for which a machine counts as lost, ticks.
+/// Time after its return during which a machine still counts as lost, ticks.
 const CATCH_UP_TICKS: u64 = 80;
 const FAULTY_TICKS: u64 = 2_400;
-const CALM_TICKS: u64 = 600;
+const FAULT_FREE_TICKS: u64 = 600;
 
-/// Mechanisms that can be left out, only to prove that the check notices.
+/// Defects that can be enabled to prove that the checks detect them.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Weakness {
-    /// A machine whose disk was lost takes up its former id.
+enum Defect {
+    /// A machine that lost its disk reuses its previous member id.
     KeepsIdAfterWipe,
 }
 
@@ -62,8 +62,8 @@
     next_command: u64,
     now: u64,
     random: fastrand::Rng,
-    weakness: Option<Weakness>,
-    /// Voters that the group should have.
+    defect: Option<Defect>,
+    /// Target number of voters.
     voters: usize,
 }
 
@@ -72,11 +72,11 @@
 }
 
 impl World {
-    fn new(machines: u8, seed: u64, weakness: Option<Weakness>) -> Self {
-        Self::of_voters(VOTERS, machines, seed, weakness)
+    fn new(machines: u8, seed: u64, defect: Option<Defect>) -> Self {
+        Self::of_voters(VOTERS, machines, seed, defect)
     }
 
-    fn of_voters(voters: usize, machines: u8, seed: u64, weakness: Option<Weakness>) -> Self {
+    fn of_voters(voters: usize, machines: u8, seed: u64, defect: Option<Defect>) -> Self {
         let mut world = World {
             machines: Vec::new(),
             seeds: (1..=3).map(address).collect(),
@@ -87,7 +87,7 @@
             next_command: 1,
             now: 0,
             random: fastrand::Rng::with_seed(seed),
-            weakness,
+            defect,
             voters,
         };
         for host in 1..=machines {
@@ -121,7 +121,7 @@
         }
         let seed = self.random.u64(..);
         let machine = &mut self.machines[index];
-        let disk = machine.disk.as_ref().expect("made above");
+        let disk = machine.disk.as_ref().expect("created above");
         let config = Config {
             id: disk.member.0,
             election_ticks: ELECTION_TICKS,
@@ -147,13 +147,13 @@
     fn wipe(&mut self, index: usize) {
         self.kill(index);
         let machine = &mut self.machines[index];
-        let former = machine.disk.take();
-        let keeps_id = self.weakness == Some(Weakness::KeepsIdAfterWipe);
-        if let Some(former) = former.filter(|_| keeps_id) {
-            let membership = former.snapshot.meta.membership;
+        let previous = machine.disk.take();
+        let keeps_id = self.defect == Some(Defect::KeepsIdAfterWipe);
+        if let Some(previous) = previous.filter(|_| keeps_id) {
+            let membership = previous.snapshot.meta.membership;
             let meta = SnapshotMeta { index: 0, term: 0, membership };
             machine.disk = Some(Disk {
-                member: former.member,
+                member: previous.member,
                 hard_state: HardState::default(),
                 snapshot: Snapshot { meta, data: Vec::new() },
                 entries: Vec::new(),
@@ -162,8 +162,8 @@
     }
 
     fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, packet: Packet) {
-        // Most packets take far less than a tick; those that take as long as an election is spread
-        // over would let votes split again and again (docs/FINDINGS.md).
+        // Most packets take far less than a tick. Delays as long as the randomization of election timeouts
+        // would cause repeated split votes (docs/FINDINGS.md).
         let delay = if self.random.u8(0..10) == 0 { self.random.u64(1..3) } else { 0 };
         if self.random.u8(0..100) > 1 {
             self.packets.push_back((self.now + delay, from, to, packet));
@@ -186,8 +186,8 @@
             due
         };
         for (_, from, to, packet) in due {
-            let parted = self.cut.contains(&from) != self.cut.contains(&to);
-            if parted {
+            let separated = self.cut.contains(&from) != self.cut.contains(&to);
+            if separated {
                 continue;
             }
             let found = self.machines.iter_mut().find(|machine| machine.address == to);
@@ -226,9 +226,9 @@
         };
         process.raft.tick();
         if self.now.is_multiple_of(5) {
-            look(process, self.now * TICK_MS);
+            manage_membership(process, self.now * TICK_MS);
         }
-        let joins = !process.raft.membership().members().any(|id| id == process.raft.id());
+        let is_joining = !process.raft.membership().members().any(|id| id == process.raft.id());
         let member = MemberId(process.raft.id());
         if self.now.is_multiple_of(7) && process.raft.is_leader() {
             if let Ok((_, at)) = process.raft.propose(self.next_command.to_le_bytes().to_vec()) {
@@ -236,16 +236,16 @@
                 self.next_command += 1;
             }
         }
-        self.work(index);
-        if joins && self.now.is_multiple_of(5) {
+        self.process_ready(index);
+        if is_joining && self.now.is_multiple_of(5) {
             for seed in self.seeds.clone() {
                 self.send(own, seed, Packet::Join(member));
             }
         }
     }
 
-    /// Saves, sends and applies what the core hands over.
-    fn work(&mut self, index: usize) {
+    /// Persists, sends and applies the output of the consensus core.
+    fn process_ready(&mut self, index: usize) {
         let own = self.machines[index].address;
         loop {
             let machine = &mut self.machines[index];
@@ -260,7 +260,7 @@
             if let Some(hard_state) = ready.hard_state {
                 disk.hard_state = hard_state;
             }
-            assert!(ready.snapshot.is_none(), "nothing is compacted here");
+            assert!(ready.snapshot.is_none(), "the simulation never compacts the log");
             if let Some(first) = ready.entries.first() {
                 disk.entries.retain(|entry| entry.index < first.index);
             }
@@ -269,7 +269,8 @@
             process.raft.on_persisted(last);
             for entry in ready.committed {
                 let Payload::Command(bytes) = &entry.payload else { continue };
-                let command = u64::from_le_bytes(bytes[..8].try_into().expect("eight bytes"));
+                let command =
+                    u64::from_le_bytes(bytes[..8].try_into().expect("a command has eight bytes"));
                 process.applied.push(command);
                 if self.proposed.remove(&(own, entry.index)) == Some(command) {
                     self.acknowledged.push(command);
@@ -287,18 +288,18 @@
         processes.map(|process| &process.applied).collect()
     }
 
-    /// Checks that every process holds a prefix of one history.
+    /// Checks that the history of every process is a prefix of the longest one.
     fn check_histories(&self) -> Result<(), String> {
         let histories = self.histories();
         let longest = histories.iter().max_by_key(|history| history.len()).copied();
-        let parted = |longest: &Vec<u64>| histories.iter().any(|held| !longest.starts_with(held));
-        match longest.filter(|longest| parted(longest)) {
-            Some(_) => Err("two histories".to_owned()),
+        let diverges = |longest: &Vec<u64>| histories.iter().any(|held| !longest.starts_with(held));
+        match longest.filter(|longest| diverges(longest)) {
+            Some(_) => Err("histories diverge".to_owned()),
             None => Ok(()),
         }
     }
 
-    /// Checks, once all are up and have applied what is committed, that nothing is missing.
+    /// Checks that no acknowledged command is missing, once all processes run and have applied all commits.
     fn check_acknowledged(&self) -> Result<(), String> {
         let longest = self.histories().into_iter().max_by_key(|history| history.len());
         let held: BTreeSet<u64> = longest.into_iter().flatten().copied().collect();
@@ -309,7 +310,7 @@
     }
 }
 
-fn look(process: &mut Process, now: u64) {
+fn manage_membership(process: &mut Process, now: u64) {
     if !process.raft.is_leader() {
         return;
     }
@@ -349,31 +350,31 @@
     }
 }
 
-/// Plays a fleet through faults that it must bear, then some calm; the error names what broke.
-fn play(machines: u8, seed: u64, weakness: Option<Weakness>) -> Result<(), String> {
-    let mut world = World::new(machines, seed, weakness);
+/// Runs a fleet through tolerable faults and a phase without faults; the error describes the violation.
+fn run_simulation(machines: u8, seed: u64, defect: Option<Defect>) -> Result<(), String> {
+    let mut world = World::new(machines, seed, defect);
     let mut next_host = machines + 1;
     let mut lost: Option<(usize, u64)> = None;
-    let mut free_at = 100;
+    let mut next_fault_at = 100;
     while world.now < FAULTY_TICKS {
         world.step();
         world.check_histories()?;
         match lost {
-            Some((index, back_at)) if world.now >= back_at => {
+            Some((index, recovers_at)) if world.now >= recovers_at => {
                 world.cut.clear();
                 let machine = &world.machines[index];
                 if machine.process.is_none() && !machine.removed {
                     world.start(index, false);
                 }
                 lost = None;
-                free_at = world.now + CATCH_UP_TICKS;
+                next_fault_at = world.now + CATCH_UP_TICKS;
             }
-            None if world.now >= free_at => {
+            None if world.now >= next_fault_at => {
                 let live: Vec<usize> =
                     (0..world.machines.len()).filter(|at| !world.machines[*at].removed).collect();
                 let index = live[world.random.usize(..live.len())];
-                let back_at = world.now + world.random.u64(5..120);
-                lost = Some((index, back_at));
+                let recovers_at = world.now + world.random.u64(5..120);
+                lost = Some((index, recovers_at));
                 match world.random.u8(0..10) {
                     0..3 => world.kill(index),
                     3..6 => world.wipe(index),
@@ -381,18 +382,18 @@
                         world.cut.insert(world.machines[index].address);
                     }
                     8 => {
-                        // Replaced by an empty machine at another address.
+                        // The machine is replaced by an empty one at another address.
                         world.kill(index);
                         world.machines[index].removed = true;
                         world.add_machine(address(next_host));
                         next_host += 1;
-                        // Whoever starts from now on is told of machines that are there.
+                        // Machines that start from now on receive seeds that exist.
                         let live = world.machines.iter().filter(|machine| !machine.removed);
                         world.seeds = live.map(|machine| machine.address).take(3).collect();
-                        lost = Some((world.machines.len() - 1, back_at));
+                        lost = Some((world.machines.len() - 1, recovers_at));
                     }
                     _ => {
-                        // All at once, with their disks.
+                        // All machines restart at once and keep their disks.
                         for index in live {
                             world.kill(index);
                             world.start(index, false);
@@ -410,13 +411,13 @@
         }
     }
     let acknowledged = world.acknowledged.len();
-    for _ in 0..CALM_TICKS {
+    for _ in 0..FAULT_FREE_TICKS {
         world.step();
         world.check_histories()?;
     }
     world.check_acknowledged()?;
     if world.acknowledged.len() < acknowledged + 20 {
-        return Err("no progress in the calm".to_owned());
+        return Err("no progress after the faults".to_owned());
     }
     let live: BTreeSet<u64> = world
         .machines
@@ -425,14 +426,14 @@
         .map(|process| process.raft.id())
         .collect();
     let mut leaders = world.machines.iter().filter_map(|machine| machine.process.as_ref());
-    let leader = leaders.find(|process| process.raft.is_leader()).ok_or("nobody leads")?;
+    let leader = leaders.find(|process| process.raft.is_leader()).ok_or("there is no leader")?;
     let membership = leader.raft.membership();
     let voters_live = membership.voters.iter().filter(|id| live.contains(id)).count();
     if voters_live < VOTERS.min(live.len()) {
         return Err(format!("{voters_live} live voters of {membership:?}"));
     }
     match live.iter().find(|id| !membership.members().any(|member| member == **id)) {
-        Some(id) => Err(format!("{} was never taken in", MemberId(*id))),
+        Some(id) => Err(format!("{} was never added to the group", MemberId(*id))),
         None => Ok(()),
     }
 }
@@ -441,7 +442,7 @@
 fn nothing_acknowledged_is_lost_and_the_group_mends_itself() {
     for machines in [3, 4] {
         for seed in 0..120 {
-            if let Err(broken) = play(machines, seed, None) {
+            if let Err(broken) = run_simulation(machines, seed, None) {
                 panic!("{machines} machines, seed {seed}: {broken}");
             }
         }
@@ -450,22 +451,23 @@
 
 #[test]
 fn the_check_notices_a_lost_disk_under_its_former_id() {
-    let weak = Some(Weakness::KeepsIdAfterWipe);
-    assert!((0..400).any(|seed| play(3, seed, weak).is_err()));
+    let defect = Some(Defect::KeepsIdAfterWipe);
+    assert!((0..400).any(|seed| run_simulation(3, seed, defect).is_err()));
 }
 
-/// Two voters lose their disks at one moment, all others are killed with theirs; whether the group goes
-/// on and what was acknowledged is there.
-fn play_two_disks_lost(voters: usize, seed: u64) -> Result<(), String> {
+/// Two voters lose their disks at the same time, and all other machines restart with theirs. Checks that the
+/// group makes progress and that no acknowledged command is lost.
+fn simulate_two_lost_disks(voters: usize, seed: u64) -> Result<(), String> {
     let mut world = World::of_voters(voters, 6, seed, None);
-    for _ in 0..CALM_TICKS {
+    for _ in 0..FAULT_FREE_TICKS {
         world.step();
     }
     let leads = |machine: &Machine| {
         machine.process.as_ref().is_some_and(|process| process.raft.is_leader())
     };
-    let leader = world.machines.iter().find(|machine| leads(machine)).ok_or("nobody leads")?;
-    let leader = leader.process.as_ref().expect("it leads");
+    let leader =
+        world.machines.iter().find(|machine| leads(machine)).ok_or("there is no leader")?;
+    let leader = leader.process.as_ref().expect("the leader runs");
     let voting = leader.raft.membership().voters.clone();
     let is_voter = |machine: &Machine| {
         machine.process.as_ref().is_some_and(|process| voting.contains(&process.raft.id()))
@@ -484,7 +486,7 @@
     for index in 0..world.machines.len() {
         world.start(index, false);
     }
-    for _ in 0..CALM_TICKS {
+    for _ in 0..FAULT_FREE_TICKS {
         world.step();
         world.check_histories()?;
     }
@@ -498,7 +500,7 @@
 #[test]
 fn five_voters_bear_the_loss_of_two_disks_at_once() {
     for seed in 0..60 {
-        if let Err(broken) = play_two_disks_lost(5, seed) {
+        if let Err(broken) = simulate_two_lost_disks(5, seed) {
             panic!("seed {seed}: {broken}");
         }
     }
@@ -506,5 +508,5 @@
 
 #[test]
 fn three_voters_do_not() {
-    assert!((0..20).all(|seed| play_two_disks_lost(3, seed).is_err()));
+    assert!((0..20).all(|seed| simulate_two_lost_disks(3, seed).is_err()));
 }
