--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -91,8 +91,9 @@
         }
     }
 
-    /// Waits until another coordinator, if there is one, has a clearing. Clearings are kept only in memory,
-    /// and one that was confirmed to an operator must survive the end of this process.
+    /// Waits until another coordinator has a clearing; returns whether it does, or whether there is
+    /// no other. Clearings are kept only in memory, and one that was confirmed to an operator must
+    /// survive the end of this process.
     fn wait_until_held_elsewhere(&self, fingerprint: Fingerprint) -> bool {
         let is_alone = self.group.members().len() <= 1;
         let end = BootInstant::now() + HELD_ELSEWHERE_TIMEOUT;
--- a/crates/coordinator/src/autopilot.rs
+++ b/crates/coordinator/src/autopilot.rs
@@ -1,8 +1,8 @@
 //! Automatic membership changes of the consensus group, one voter at a time.
 //!
-//! A voter is replaced only if a replacement is available: its own machine with a new member id (after
-//! losing its disk), or a spare member that has caught up. Silence alone is no reason to remove a voter,
-//! and a voter is never removed if the remaining ones would not have a quorum.
+//! A voter is replaced only if a replacement is available: its own machine with a new member id
+//! (after losing its disk), or a spare member that has caught up. Silence alone is no reason to
+//! remove a voter, and a voter is never removed if the remaining ones would not have a quorum.
 
 use crate::Millis;
 use consensus::Membership;
@@ -37,9 +37,9 @@
 /// A membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Adds new members, which start to receive the log. Learners do not count towards a majority, so all
-    /// that requested to join are added at once: added one by one, the 21 learners of a group of 24 would
-    /// be able to accept links only seconds after a start.
+    /// Adds new members, which start to receive the log. Learners do not count towards a majority,
+    /// so all that requested to join are added at once: added one by one, the 21 learners of a
+    /// group of 24 would be able to accept links only seconds after a start.
     AddLearners(Vec<MemberId>),
     /// Makes a learner a voter.
     Promote(MemberId),
@@ -97,8 +97,8 @@
         let is_member = |member: &MemberId| facts.membership.members().any(|id| id == member.0);
         let requested = self.join_requests.keys().copied();
         let newcomers: Vec<MemberId> = requested.filter(|member| !is_member(member)).collect();
-        let any = !newcomers.is_empty();
-        any.then_some(Change::AddLearners(newcomers))
+        let has_newcomers = !newcomers.is_empty();
+        has_newcomers.then_some(Change::AddLearners(newcomers))
     }
 
     fn promote(&self, facts: &Facts) -> Option<Change> {
@@ -112,7 +112,8 @@
         learners.filter(|_| needs_voter).find(is_ready).map(Change::Promote)
     }
 
-    /// Removes a silent voter if there are more voters than needed, which means that it was replaced.
+    /// Removes a silent voter if there are more voters than needed, which means that it was
+    /// replaced.
     fn remove_silent(&self, facts: &Facts) -> Option<Change> {
         if facts.membership.voters.len() <= self.voters {
             return None;
--- a/crates/coordinator/src/canaries.rs
+++ b/crates/coordinator/src/canaries.rs
@@ -26,7 +26,8 @@
 }
 
 impl CanaryPolicies {
-    /// `exposed_part` is the maximum share of calls that a bad version may have received, from 0 to 1.
+    /// `exposed_part` is the maximum share of calls that a bad version may have received, from 0 to
+    /// 1.
     pub fn new(exposed_part: f64) -> Self {
         CanaryPolicies { exposed_part }
     }
--- a/crates/coordinator/src/dialect.rs
+++ b/crates/coordinator/src/dialect.rs
@@ -81,8 +81,8 @@
     /// Encodes the state of a canary.
     fn write_canary(&self, canary: &CanaryRecord) -> Vec<u8>;
 
-    /// Encodes the evacuated zones; `_now_ms` is the current time in Unix milliseconds. Optional for
-    /// dialects without this operation.
+    /// Encodes the evacuated zones; `_now_ms` is the current time in Unix milliseconds. Optional
+    /// for dialects without this operation.
     fn write_evacuations(
         &self,
         _zones: &BTreeMap<String, EvacuationRecord>,
--- a/crates/coordinator/src/exchange.rs
+++ b/crates/coordinator/src/exchange.rs
@@ -1,24 +1,26 @@
 //! Replication of the registry of sidecars between coordinators; without I/O.
 //!
-//! A sidecar links to a few coordinators, which report it to all others. Each coordinator keeps a list of
-//! the sidecars that are directly connected to it, sends every other coordinator the changes of that list,
-//! and twice a second a heartbeat with the position up to which the list is valid. A heartbeat renews the
-//! leases of all sidecars in the list, so while nothing changes, two coordinators exchange some tens of
-//! bytes per second regardless of the number of sidecars. The list contains versions of records; a
-//! coordinator that lacks a record requests it from one that lists it.
+//! A sidecar links to a few coordinators, which report it to all others. Each coordinator keeps a
+//! list of the sidecars that are directly connected to it, sends every other coordinator the
+//! changes of that list, and twice a second a heartbeat with the position up to which the list is
+//! valid. A heartbeat renews the leases of all sidecars in the list, so while nothing changes, two
+//! coordinators exchange some tens of bytes per second regardless of the number of sidecars. The
+//! list contains versions of records; a coordinator that lacks a record requests it from one that
+//! lists it.
 
 use crate::{Millis, Registry};
 use mesh::{CoordinatorFrame, HeardNode, MemberId, NodeAddress, RegistryEntry};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Interval between heartbeats, milliseconds. Several fit into half a lease, which is the remaining time
-/// if a sidecar was last heard from half a lease ago.
+/// Interval between heartbeats, milliseconds. Several fit into half a lease, which is the remaining
+/// time if a sidecar was last heard from half a lease ago.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Time after which an unanswered request is repeated, milliseconds: the longest round-trip time between
-/// regions plus one tick.
+/// Time after which an unanswered request is repeated, milliseconds: the longest round-trip time
+/// between regions plus one tick.
 const REQUEST_RETRY_MS: u64 = 250;
-/// Number of removed entries kept for coordinators that are behind; one that is further behind receives
-/// the complete list. A list is rarely longer than this, so keeping more would save nothing.
+/// Number of removed entries kept for coordinators that are behind; one that is further behind
+/// receives the complete list. A list is rarely longer than this, so keeping more would save
+/// nothing.
 const MAX_DROPPED: usize = 256;
 
 /// A frame addressed to another coordinator.
@@ -59,8 +61,8 @@
 }
 
 impl RegistryExchange {
-    /// Creates the state before any exchange. `epoch` must differ from that of every earlier process of
-    /// this coordinator.
+    /// Creates the state before any exchange. `epoch` must differ from that of every earlier
+    /// process of this coordinator.
     pub fn new(own: MemberId, zone: &str, epoch: u64) -> Self {
         RegistryExchange {
             own,
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Returns the frames that are due: changes of the list, heartbeats, and requests for the lists of
-    /// coordinators that are new to this one.
+    /// Returns the frames that are due: changes of the list, heartbeats, and requests for the lists
+    /// of coordinators that are new to this one.
     pub fn tick(&mut self, registry: &Registry, peers: &[MemberId], now: Millis) -> Vec<Outgoing> {
         let mut frames = Vec::new();
         self.peers.retain(|peer, _| peers.contains(peer));
@@ -163,7 +165,8 @@
         Some((peer, CoordinatorFrame::ListRequest { member: own, epoch, position }))
     }
 
-    /// Handles a frame of another coordinator. Returns the responses and whether the registry changed.
+    /// Handles a frame of another coordinator. Returns the responses and whether the registry
+    /// changed.
     pub fn receive(
         &mut self,
         registry: &mut Registry,
@@ -178,8 +181,8 @@
             CoordinatorFrame::ListChanges { member, epoch, since, position, heard, dropped } => {
                 let member = MemberId(member);
                 let list = self.peers.entry(member).or_default();
-                let follows = since == 0 || (list.epoch == epoch && list.position >= since);
-                if !follows {
+                let is_applicable = since == 0 || (list.epoch == epoch && list.position >= since);
+                if !is_applicable {
                     return (self.request_list(member, now).into_iter().collect(), false);
                 }
                 let outdated = list.epoch == epoch && position < list.position;
@@ -242,8 +245,8 @@
         for entry in list.nodes.values() {
             registry.renew(entry, now);
         }
-        let all: Vec<RegistryEntry> = list.nodes.values().copied().collect();
-        self.request_records(registry, member, all, now).into_iter().collect()
+        let entries: Vec<RegistryEntry> = list.nodes.values().copied().collect();
+        self.request_records(registry, member, entries, now).into_iter().collect()
     }
 
     /// Requests the missing records that were not requested recently.
@@ -265,11 +268,13 @@
                 nodes.push(entry.address);
             }
         }
-        let any = !nodes.is_empty();
-        any.then_some((peer, CoordinatorFrame::RecordsRequest { member: self.own.0, nodes }))
+        let has_missing = !nodes.is_empty();
+        has_missing
+            .then_some((peer, CoordinatorFrame::RecordsRequest { member: self.own.0, nodes }))
     }
 
-    /// Removes stopping sidecars that no coordinator lists any more; returns whether there were any.
+    /// Removes stopping sidecars that no coordinator lists any more; returns whether there were
+    /// any.
     fn remove_stopped(
         &self,
         registry: &mut Registry,
@@ -288,6 +293,6 @@
 }
 
 fn records_frame(member: u64, nodes: Vec<HeardNode>) -> Option<Outgoing> {
-    let any = !nodes.is_empty();
-    any.then_some((MemberId(member), CoordinatorFrame::Records { nodes }))
+    let has_nodes = !nodes.is_empty();
+    has_nodes.then_some((MemberId(member), CoordinatorFrame::Records { nodes }))
 }
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -81,8 +81,8 @@
         self.wake();
     }
 
-    /// Processes events of poison requests from a directly connected sidecar (`here`) or from another
-    /// coordinator.
+    /// Processes events of poison requests from a directly connected sidecar (`here`) or from
+    /// another coordinator.
     pub fn receive_poison(&self, notices: Vec<PoisonNotice>, here: bool, now: Millis) {
         let mut state = self.lock();
         let previous_position = state.poison.position();
--- a/crates/coordinator/src/identity.rs
+++ b/crates/coordinator/src/identity.rs
@@ -1,7 +1,7 @@
 //! The member id of this process.
 //!
-//! A process with an empty disk never reuses an earlier member id: that member may have cast votes and
-//! acknowledged entries that are lost with the disk.
+//! A process with an empty disk never reuses an earlier member id: that member may have cast votes
+//! and acknowledged entries that are lost with the disk.
 
 use mesh::MemberId;
 use settings::CoordinatorSettings;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,6 +1,7 @@
-//! The coordinator: a single process that holds a replica of the configuration and all other control
-//! functions that a small fleet needs. It serves sidecars directly, without relays, maintains the registry
-//! of sidecars, and manages the membership of its consensus group without an operator.
+//! The coordinator: a single process that holds a replica of the configuration and all other
+//! control functions that a small fleet needs. It serves sidecars directly, without relays,
+//! maintains the registry of sidecars, and manages the membership of its consensus group without an
+//! operator.
 #![forbid(unsafe_code)]
 
 mod api;
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/link.rs
@@ -1,9 +1,9 @@
 //! The protocol of a sidecar's link, without sockets.
 //!
-//! All links are served by one thread, see [`crate::link_server`]. A sidecar sends its record to all
-//! coordinators to which it is linked. It receives updates about other sidecars only from the one
-//! coordinator to which it subscribes, which is in its own zone if possible. Frames for many sidecars are
-//! encoded once.
+//! All links are served by one thread, see [`crate::link_server`]. A sidecar sends its record to
+//! all coordinators to which it is linked. It receives updates about other sidecars only from the
+//! one coordinator to which it subscribes, which is in its own zone if possible. Frames for many
+//! sidecars are encoded once.
 
 use crate::canaries::CanaryPolicies;
 use crate::hub::Hub;
@@ -22,19 +22,19 @@
 use telemetry::{BootInstant, Clock};
 use tracing::info;
 
-/// Interval between updates of loads. A sidecar sends only a few calls in this time, and a call occupies
-/// its slot for longer, so the loads are still accurate for most of the calls.
+/// Interval between updates of loads. A sidecar sends only a few calls in this time, and a call
+/// occupies its slot for longer, so the loads are still accurate for most of the calls.
 const LOADS_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum rates at which loads of the own zone and of all other zones are sent to a subscriber, bytes per
-/// second: together 6 in 100 of the slowest link observed at a sidecar (2 Mbit/s), and two thirds of the
-/// limit for control traffic per node in a fleet of some thousand nodes (21 kB/s). Calls stay in their zone
-/// while it has capacity, so its loads have priority; in a large fleet, loads of other zones are sent less
-/// often.
+/// Maximum rates at which loads of the own zone and of all other zones are sent to a subscriber,
+/// bytes per second: together 6 in 100 of the slowest link observed at a sidecar (2 Mbit/s), and
+/// two thirds of the limit for control traffic per node in a fleet of some thousand nodes (21
+/// kB/s). Calls stay in their zone while it has capacity, so its loads have priority; in a large
+/// fleet, loads of other zones are sent less often.
 const NEAR_LOAD_BYTES_PER_S: f64 = 8_000.0;
 const FAR_LOAD_BYTES_PER_S: f64 = 6_000.0;
 /// Time after the start of a coordinator during which its list may be incomplete, so that a missing
-/// sidecar is not necessarily gone, milliseconds. The list is filled by the links of sidecars, which retry
-/// connections after at most 0.8 s, and by other coordinators.
+/// sidecar is not necessarily gone, milliseconds. The list is filled by the links of sidecars,
+/// which retry connections after at most 0.8 s, and by other coordinators.
 const COMPLETE_AFTER_MS: u64 = 2_000;
 
 /// An encoded frame that is sent to many sidecars.
@@ -145,7 +145,8 @@
         encode_frame(&ToSidecar::Welcome { zone, last }, output);
         let mut link =
             Link { node, boot_id: life, sent: SentRevisions::default(), subscription: None };
-        // Sent before its upstream is announced, because version and zone decide which calls it may receive.
+        // Sent before its upstream is announced, because version and zone decide which calls it may
+        // receive.
         self.update_group_frames();
         self.send_group_updates(&mut link, output);
         self.handle_report(record, output);
@@ -250,8 +251,8 @@
         }
     }
 
-    /// Sends a sidecar the changes of the group since the last call. Zones and versions, which decide the
-    /// upstreams that may receive calls, are sent first.
+    /// Sends a sidecar the changes of the group since the last call. Zones and versions, which
+    /// decide the upstreams that may receive calls, are sent first.
     pub fn send_group_updates(&self, link: &mut Link, output: &mut Vec<u8>) {
         let (group_frames, sent) = (&self.group_frames, &mut link.sent);
         if group_frames.evacuations_revision > sent.evacuations {
@@ -272,8 +273,8 @@
         }
     }
 
-    /// Sends a subscriber the changes of other sidecars. Until the list of this coordinator is complete,
-    /// updates only add to the sidecar's list and never replace it.
+    /// Sends a subscriber the changes of other sidecars. Until the list of this coordinator is
+    /// complete, updates only add to the sidecar's list and never replace it.
     pub fn send_node_updates(
         &self,
         link: &mut Link,
@@ -346,8 +347,8 @@
             let changes = hub.lock().registry.changes_since(since);
             let whole = changes.whole && complete;
             let (changed, gone) = (changes.changed, changes.gone);
-            let any = whole || !changed.is_empty() || !gone.is_empty();
-            let frame = any.then(|| encoded(&ToSidecar::Nodes { whole, changed, gone }));
+            let has_changes = whole || !changed.is_empty() || !gone.is_empty();
+            let frame = has_changes.then(|| encoded(&ToSidecar::Nodes { whole, changed, gone }));
             NodeFrame { position: changes.position, frame }
         })
     }
@@ -385,7 +386,7 @@
         let bytes = (loads.len() * NodeLoad::BYTES) as f64;
         let pause = Duration::from_secs_f64(bytes / self.bytes_per_s);
         self.due_at = BootInstant::now() + pause.max(LOADS_INTERVAL);
-        let any = !loads.is_empty();
-        any.then(|| encoded(&ToSidecar::Loads { loads }))
+        let has_loads = !loads.is_empty();
+        has_loads.then(|| encoded(&ToSidecar::Loads { loads }))
     }
 }
--- a/crates/coordinator/src/link_server.rs
+++ b/crates/coordinator/src/link_server.rs
@@ -1,9 +1,9 @@
-//! The event loop that serves the links of all sidecars in one thread, and hands connections of other
-//! coordinators over to separate threads.
+//! The event loop that serves the links of all sidecars in one thread, and hands connections of
+//! other coordinators over to separate threads.
 //!
-//! A link needs a file descriptor and buffers for unsent data, but no thread. The number of links is
-//! therefore limited by the number of file descriptors, and connections of coordinators, which need a
-//! thread each, do not compete with links of sidecars.
+//! A link needs a file descriptor and buffers for unsent data, but no thread. The number of links
+//! is therefore limited by the number of file descriptors, and connections of coordinators, which
+//! need a thread each, do not compete with links of sidecars.
 
 use crate::link::{Encoded, Link, Links, NodeFrameCache};
 use crate::transport;
@@ -26,9 +26,10 @@
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Maximum number of connections accepted before open connections are served again.
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
-/// Maximum number of connections that have not sent a greeting; above it, the oldest of them is closed.
-/// A greeting usually arrives within a few milliseconds. The limit allows for the simultaneous return of
-/// a whole zone of a large fleet, and bounds the memory used during a connection flood.
+/// Maximum number of connections that have not sent a greeting; above it, the oldest of them is
+/// closed. A greeting usually arrives within a few milliseconds. The limit allows for the
+/// simultaneous return of a whole zone of a large fleet, and bounds the memory used during a
+/// connection flood.
 const MAX_UNGREETED: usize = 1_024;
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 /// A link without data from its sidecar for this long is closed; sidecars ping once a second.
@@ -37,8 +38,8 @@
 const STALL_LIMIT: Duration = Duration::from_millis(1_500);
 /// Maximum unsent data of a link, bytes: several times the longest list and configuration.
 const MAX_PENDING_BYTES: usize = 2 * MAX_FRAME_BYTES;
-/// Time for which changes of the registry are batched, so that sidecars that start or leave together are
-/// announced in one frame. Short compared to the drain time of a leaving upstream.
+/// Time for which changes of the registry are batched, so that sidecars that start or leave
+/// together are announced in one frame. Short compared to the drain time of a leaving upstream.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// Minimum interval between updates, so that each frame covers many sidecars during a mass start.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
@@ -86,8 +87,8 @@
     connections: Slab<Connection>,
     serve_coordinator: ServeCoordinator,
     read_buffer: Vec<u8>,
-    /// Whether connections may wait to be accepted without a further event: an event is only raised for
-    /// new ones.
+    /// Whether connections may wait to be accepted without a further event: an event is only raised
+    /// for new ones.
     accepts_pending: bool,
     /// Last sent position of the registry, position of poison events, and revision of the group.
     sent_positions: (u64, u64, u64),
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -16,11 +16,12 @@
 use telemetry::BootInstant;
 use tracing::{info, warn};
 
-/// Maximum number of connections served at the same time; further ones are closed. Allows ten connections,
-/// including replaced ones, for each of the about fifty coordinators of the largest planned fleet.
+/// Maximum number of connections served at the same time; further ones are closed. Allows ten
+/// connections, including replaced ones, for each of the about fifty coordinators of the largest
+/// planned fleet.
 const MAX_CONNECTIONS: usize = 512;
-/// Coordinators send heartbeats twice a second. After this time without data, the coordinator has left, or
-/// has replaced a stalled connection by another one.
+/// Coordinators send heartbeats twice a second. After this time without data, the coordinator has
+/// left, or has replaced a stalled connection by another one.
 const COORDINATOR_SILENCE_LIMIT: Duration = Duration::from_secs(30);
 /// Write timeout of the receipt byte.
 const RECEIPT_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/coordinator/src/loads.rs
+++ b/crates/coordinator/src/loads.rs
@@ -1,9 +1,9 @@
 //! Loads of upstreams, for the sidecars that choose among them: soft state, without I/O.
 //!
-//! A single sidecar sends too few calls to learn the load of each upstream often enough. Therefore each
-//! sidecar reports load changes to its coordinator in a few bytes, coordinators forward the loads that
-//! were reported to them, and each sends all loads to its subscribers. A load is only a hint: a lost
-//! one is not repeated, and readers discount old ones.
+//! A single sidecar sends too few calls to learn the load of each upstream often enough. Therefore
+//! each sidecar reports load changes to its coordinator in a few bytes, coordinators forward the
+//! loads that were reported to them, and each sends all loads to its subscribers. A load is only a
+//! hint: a lost one is not repeated, and readers discount old ones.
 
 use crate::Registry;
 use mesh::{InstanceState, NodeAddress, NodeLoad, NodeRecord, UpstreamLoad};
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -1,5 +1,5 @@
-//! This coordinator's participation in the consensus group: its replica, its peers, and the loops that
-//! join the group and manage its membership.
+//! This coordinator's participation in the consensus group: its replica, its peers, and the loops
+//! that join the group and manage its membership.
 
 use crate::autopilot::{Autopilot, Change, Facts, MemberFacts};
 use crate::hub::Hub;
@@ -86,12 +86,12 @@
 
     /// Passes a message of a peer to the replica.
     pub fn receive(&self, message: Message) {
-        let from = MemberId(message.from);
+        let sender = MemberId(message.from);
         let now = self.clock.now_ms();
-        self.heard_at.lock().unwrap_or_else(PoisonError::into_inner).insert(from, now);
-        if self.leads_without_member(from) {
+        self.heard_at.lock().unwrap_or_else(PoisonError::into_inner).insert(sender, now);
+        if self.leads_without_member(sender) {
             // The member was removed while it was disconnected and has not noticed.
-            self.join(from);
+            self.join(sender);
             return;
         }
         self.replica.step(message);
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -83,8 +83,8 @@
         self.lock().pools.fleet.heard_peer(peer, now);
     }
 
-    /// Updates the listed sidecars, with whether each is stopping, the other coordinators, and the limits.
-    /// Called several times a second.
+    /// Updates the listed sidecars, with whether each is stopping, the other coordinators, and the
+    /// limits. Called several times a second.
     pub fn update(&self, listed: Vec<(NodeAddress, bool)>, peers: &[MemberId], now: Millis) {
         self.update_limits(now);
         let peers: Vec<u64> = peers.iter().map(|peer| peer.0).collect();
@@ -120,7 +120,8 @@
         info!(generation = target.generation, tenants, "quotas_in_force");
     }
 
-    /// Logs the tenants whose calls were refused since the last log, those with most refusals first.
+    /// Logs the tenants whose calls were refused since the last log, those with most refusals
+    /// first.
     pub fn log_refusals(&self) {
         let mut state = self.lock();
         let usages: Vec<TenantUse> = state.pools.uses().collect();
--- a/crates/coordinator/src/registry.rs
+++ b/crates/coordinator/src/registry.rs
@@ -10,8 +10,8 @@
 
 /// Number of incarnations whose leaving state is remembered.
 const MAX_LEAVING_STATES: usize = 4_096;
-/// Number of removals kept for readers that are behind; one that is further behind receives the complete
-/// list.
+/// Number of removals kept for readers that are behind; one that is further behind receives the
+/// complete list.
 const MAX_REMOVED: usize = 1_024;
 /// Time for which the last record of a removed sidecar is kept for its return, milliseconds.
 const LAST_RECORD_TTL_MS: u64 = 60_000;
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     lease_ms: u64,
-    /// The latest time passed to any method.
+    /// The latest time passed to `report`, `merge_from_peer` or `expire`.
     now: Millis,
     position: u64,
     nodes: BTreeMap<NodeAddress, ListedNode>,
@@ -128,9 +128,9 @@
         self.gone.retain(|(_, gone)| *gone != address);
     }
 
-    /// Merges a record that another coordinator hears directly; returns whether readers must be notified.
-    /// A record of a sidecar that is heard directly here, or was heard from more recently here, is never
-    /// replaced by one with another boot id, because boot ids have no order.
+    /// Merges a record that another coordinator received directly; returns whether readers must be
+    /// notified. A record of a sidecar that is heard directly here, or was heard from more recently
+    /// here, is never replaced by one with another boot id, because boot ids have no order.
     pub fn merge_from_peer(&mut self, heard: HeardNode, now: Millis) -> bool {
         self.now = self.now.max(now);
         let last_heard_at = now.saturating_sub(u64::from(heard.silent_ms));
@@ -177,8 +177,8 @@
         heard.map(|listed| RegistryEntry::of(&listed.record))
     }
 
-    /// Whether a record version that another coordinator lists is missing here. A sidecar that is heard
-    /// directly here sends its records itself.
+    /// Whether a record version that another coordinator lists is missing here. A sidecar that is
+    /// heard directly here sends its records itself.
     pub fn needs_record(&self, entry: &RegistryEntry, now: Millis) -> bool {
         let Some(listed) = self.nodes.get(&entry.address) else {
             return true;
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Removes a sidecar that no coordinator hears any more, if it announced that it stops; returns whether
-    /// it did.
+    /// Removes a sidecar to which no coordinator is connected any more, if it announced that it
+    /// stops; returns whether it did.
     pub fn remove_stopped(&mut self, address: &NodeAddress, now: Millis) -> bool {
         let limit_ms = self.direct_timeout_ms();
         let is_gone = |listed: &ListedNode| {
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Handles the end of the connection of a sidecar process; returns whether the node was removed.
+    /// Handles the end of the connection of a sidecar process; returns whether the node was
+    /// removed.
     pub fn disconnected(&mut self, address: &NodeAddress, boot_id: u64) -> bool {
         let Some(listed) =
             self.nodes.get_mut(address).filter(|listed| listed.record.boot_id == boot_id)
@@ -338,13 +339,13 @@
     pub fn changes_since(&self, position: Option<u64>) -> RegistryChanges {
         let oldest_removed = self.gone.front().map_or(0, |(at, _)| *at);
         let truncated = self.gone.len() >= MAX_REMOVED;
-        let known = position.filter(|position| !truncated || *position >= oldest_removed);
-        let since = known.unwrap_or(0);
-        let is_changed = |listed: &&ListedNode| known.is_none() || listed.changed_at > since;
-        let gone = self.gone.iter().filter(|(at, _)| known.is_some() && *at > since);
+        let base = position.filter(|position| !truncated || *position >= oldest_removed);
+        let since = base.unwrap_or(0);
+        let is_changed = |listed: &&ListedNode| base.is_none() || listed.changed_at > since;
+        let gone = self.gone.iter().filter(|(at, _)| base.is_some() && *at > since);
         RegistryChanges {
             position: self.position,
-            whole: known.is_none(),
+            whole: base.is_none(),
             changed: self
                 .nodes
                 .values()
@@ -356,7 +357,8 @@
     }
 }
 
-/// A record received at `received_at`, as of `now`: the remaining cold time of its upstream is reduced.
+/// A record received at `received_at`, as of `now`: the remaining cold time of its upstream is
+/// reduced.
 fn with_age(mut record: NodeRecord, received_at: Millis, now: Millis) -> NodeRecord {
     if let Some(instance) = &mut record.instance {
         let age_ms = u32::try_from(now.saturating_sub(received_at)).unwrap_or(u32::MAX);
--- a/crates/coordinator/src/registry_loop.rs
+++ b/crates/coordinator/src/registry_loop.rs
@@ -1,4 +1,5 @@
-//! Maintains the registry and the loads: expires leases, and exchanges both with other coordinators.
+//! Maintains the registry and the loads: expires leases, and exchanges both with other
+//! coordinators.
 
 use crate::exchange::{Outgoing, RegistryExchange};
 use crate::hub::Hub;
@@ -15,15 +16,15 @@
 use telemetry::{BootInstant, Clock};
 use tracing::info;
 
-/// Interval between checks for changes to send to other coordinators. All of them learn of a leaving sidecar
-/// after this time and one request.
+/// Interval between checks for changes to send to other coordinators. All of them learn of a
+/// leaving sidecar after this time and one request.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval between checks of leases and other tasks that are not urgent.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between load updates to coordinators of the own zone, and minimum interval to others.
 const LOADS_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum total rate of loads to coordinators of other zones, bytes per second: calls stay in their zone
-/// while it has capacity, and traffic between zones is expensive.
+/// Maximum total rate of loads to coordinators of other zones, bytes per second: calls stay in
+/// their zone while it has capacity, and traffic between zones is expensive.
 const FAR_LOAD_BYTES_PER_S: f64 = 16_000.0;
 
 /// Interval between logs of services with queued calls.
@@ -124,8 +125,9 @@
         self.send_poison_events(sent, &peers, now);
     }
 
-    /// Sends new poison events to other coordinators, and all events to those that may have missed some: a
-    /// coordinator that missed a clearing would keep the request in quarantine at all its sidecars.
+    /// Sends new poison events to other coordinators, and all events to those that may have missed
+    /// some: a coordinator that missed a clearing would keep the request in quarantine at all its
+    /// sidecars.
     fn send_poison_events(&self, sent: &mut SentState, peers: &[MemberId], now: Millis) {
         let may_have_missed = |peer: &MemberId| {
             let gaps = self.transport.gaps(*peer);
@@ -171,7 +173,8 @@
         peers.iter().partition(|member| near(member))
     }
 
-    /// Sends loads after a position to some coordinators and advances the position; returns their number.
+    /// Sends loads after a position to some coordinators and advances the position; returns their
+    /// number.
     fn send_loads_since(&self, position: &mut u64, peers: &[MemberId]) -> usize {
         let state = self.hub.lock();
         let loads = state.loads.reported_since(*position);
--- a/crates/coordinator/src/runtime.rs
+++ b/crates/coordinator/src/runtime.rs
@@ -31,8 +31,8 @@
 use tracing::info;
 
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Wait for requests in progress on a planned stop: a response is sent within some milliseconds, and a
-/// proposal completes within the limit.
+/// Wait for requests in progress on a planned stop: a response is sent within some milliseconds,
+/// and a proposal completes within the limit.
 const REQUEST_DRAIN: QuietWait =
     QuietWait { quiet: Duration::from_millis(200), limit: Duration::from_millis(1_500) };
 
@@ -145,7 +145,8 @@
     transport: &Arc<Transport>,
 ) -> Result<Replica<ConfigState>, StorageError> {
     let ticks = |milliseconds: u64| (milliseconds / settings.tick_ms).max(1) as u32;
-    // Only initial members of a new fleet start with a membership; others receive it from the leader.
+    // Only initial members of a new fleet start with a membership; others receive it from the
+    // leader.
     let initial = match own.incarnation() {
         0 => {
             let seeds = settings.seeds.iter().map(|seed| MemberId::first_at(*seed.ip()).0);
--- a/crates/coordinator/src/silence.rs
+++ b/crates/coordinator/src/silence.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use telemetry::BootInstant;
 
-/// A receiver that sends no receipt for this long after data was sent is considered unreachable. Longer than
-/// an election, so that a member short of CPU time is not reconnected repeatedly.
+/// A receiver that sends no receipt for this long after data was sent is considered unreachable.
+/// Longer than an election, so that a member short of CPU time is not reconnected repeatedly.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// Tracks sent data and receipts of one connection.
--- a/crates/coordinator/src/transport.rs
+++ b/crates/coordinator/src/transport.rs
@@ -1,9 +1,10 @@
-//! Non-blocking transport of frames to other coordinators, with one thread and one connection for each.
+//! Non-blocking transport of frames to other coordinators, with one thread and one connection for
+//! each.
 //!
-//! Frames are sent in one direction; the receiver returns single bytes as receipts. A connection can stall
-//! permanently without a reset while new connections work. Missing receipts reveal this, and the
-//! connection is replaced. Otherwise a leader could never reach that member again, and a group that lost
-//! two connections in this way would have no quorum.
+//! Frames are sent in one direction; the receiver returns single bytes as receipts. A connection
+//! can stall permanently without a reset while new connections work. Missing receipts reveal this,
+//! and the connection is replaced. Otherwise a leader could never reach that member again, and a
+//! group that lost two connections in this way would have no quorum.
 
 use crate::silence::SilenceWatch;
 use mesh::{encode_frame, CoordinatorFrame, Greeting, MemberId, Purpose, PROTOCOL_VERSION};
@@ -21,19 +22,20 @@
 
 /// Maximum number of frames queued for one peer; further ones are dropped, as by a network.
 const QUEUE_LENGTH: usize = 1_024;
-/// A SYN packet to an unreachable machine is lost and stays unanswered after the machine returns, while frames
-/// queue behind it. The attempt is therefore abandoned after about the longest round-trip time between
-/// regions, and repeated.
+/// A SYN packet to an unreachable machine is lost and stays unanswered after the machine returns,
+/// while frames queue behind it. The attempt is therefore abandoned after about the longest
+/// round-trip time between regions, and repeated.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time for which frames are dropped after a failed connection attempt; a starting process listens after
-/// some tens of milliseconds.
+/// Time for which frames are dropped after a failed connection attempt; a starting process listens
+/// after some tens of milliseconds.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// The thread of a peer ends after this time without frames.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Small, because the threads only copy frames.
 const STACK_BYTES: usize = 128 * 1024;
-/// Time after which unacknowledged data closes the connection, for example if the machine is unreachable.
+/// Time after which unacknowledged data closes the connection, for example if the machine is
+/// unreachable.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
@@ -55,8 +57,8 @@
     gaps: Arc<Gaps>,
 }
 
-/// Number of times that frames to each peer may have been lost. Each new connection counts, because frames in
-/// transit on the previous one may be lost, or frames were dropped while there was none.
+/// Number of times that frames to each peer may have been lost. Each new connection counts, because
+/// frames in transit on the previous one may be lost, or frames were dropped while there was none.
 #[derive(Default)]
 struct Gaps(Mutex<BTreeMap<Ipv4Addr, u64>>);
 
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Counter that increases whenever a member may have missed frames and is reachable again, so that data
-    /// that is normally sent only once must be sent again.
+    /// Counter that increases whenever a member may have missed frames and is reachable again, so
+    /// that data that is normally sent only once must be sent again.
     pub fn gaps(&self, to: MemberId) -> u64 {
         self.gaps.count(to.address())
     }
--- a/crates/coordinator/tests/autopilot.rs
+++ b/crates/coordinator/tests/autopilot.rs
@@ -9,11 +9,12 @@
 const SILENCE_MS: u64 = 2_000;
 const NOW: u64 = 100_000;
 
-fn at(host: u8, life: u32) -> MemberId {
-    MemberId::new(Ipv4Addr::new(10, 0, 0, host), life)
+fn at(host: u8, incarnation: u32) -> MemberId {
+    MemberId::new(Ipv4Addr::new(10, 0, 0, host), incarnation)
 }
 
-/// Facts with the first voter as leader; all members are caught up, and all but `silent` were heard from.
+/// Facts with the first voter as leader; all members are caught up, and all but `silent` were heard
+/// from.
 fn facts(voters: &[MemberId], learners: &[MemberId], silent: &[MemberId]) -> Facts {
     let membership = Membership {
         voters: voters.iter().map(|member| member.0).collect(),
--- a/crates/coordinator/tests/exchange.rs
+++ b/crates/coordinator/tests/exchange.rs
@@ -42,8 +42,8 @@
     exchange: RegistryExchange,
 }
 
-/// Coordinators and sidecars in virtual time. Frames between coordinators arrive immediately; sidecars reach
-/// a coordinator immediately or, over a cut link, not at all.
+/// Coordinators and sidecars in virtual time. Frames between coordinators arrive immediately;
+/// sidecars reach a coordinator immediately or, over a cut link, not at all.
 struct Fleet {
     now: u64,
     coordinators: Vec<Coordinator>,
@@ -212,8 +212,8 @@
     }
 }
 
-/// The lists of the coordinators after random cuts, failures and restarts followed by one lease without
-/// any, and the expected list.
+/// The lists of the coordinators after random cuts, failures and restarts followed by one lease
+/// without any, and the expected list.
 struct Outcome {
     listed: Vec<Vec<(u8, u64, InstanceState)>>,
     expected: Vec<u8>,
--- a/crates/coordinator/tests/large_exchange.rs
+++ b/crates/coordinator/tests/large_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange between 24 coordinators that are each connected to a part of a large fleet: its cost, and
-//! that all lists converge.
+//! The exchange between 24 coordinators that are each connected to a part of a large fleet: its
+//! cost, and that all lists converge.
 
 use coordinator::{Registry, RegistryExchange};
 use mesh::{encode_frame, InstanceRecord, InstanceState, MemberId, NodeAddress, NodeRecord};
@@ -147,8 +147,8 @@
     }
 }
 
-/// Checks the cost of steady state, of one change, and of restarts of one coordinator, of half of the
-/// sidecars and of all coordinators.
+/// Checks the cost of steady state, of one change, and of restarts of one coordinator, of half of
+/// the sidecars and of all coordinators.
 fn costs_are_linear(sidecars: usize) {
     let pairs = COORDINATORS * (COORDINATORS - 1);
     let mut fleet = Fleet::new(sidecars);
@@ -161,8 +161,8 @@
     assert!(bytes < pairs * 20 * 60, "{bytes}");
     assert!(fleet.agrees(), "after ten seconds without changes");
 
-    // One sidecar changes: the coordinators linked to it announce the change to all, and each that lacks the
-    // record requests it.
+    // One sidecar changes: the coordinators linked to it announce the change to all, and each that
+    // lacks the record requests it.
     let (links, record) = (LINKS, record(3, 1, 2));
     fleet.sidecars[3] = record.clone();
     for link in Fleet::links(3) {
@@ -195,7 +195,8 @@
     }
     fleet.report_all();
     let (_, bytes) = fleet.cost_of(1_000);
-    // Each record is sent to each coordinator, and its version by each coordinator that is linked to it.
+    // Each record is sent to each coordinator, and its version by each coordinator that is linked
+    // to it.
     let each = COORDINATORS * (150 + LINKS * 30);
     assert!(bytes < sidecars / 2 * each + pairs * 500, "{bytes}");
     assert!(fleet.agrees(), "after half of the sidecars restarted");
--- a/crates/coordinator/tests/registry.rs
+++ b/crates/coordinator/tests/registry.rs
@@ -1,5 +1,5 @@
-//! The registry of sidecars: leases, boot ids, persistent leaving states, and the changes that readers
-//! receive.
+//! The registry of sidecars: leases, boot ids, persistent leaving states, and the changes that
+//! readers receive.
 
 use coordinator::Registry;
 use mesh::{HeardNode, InstanceRecord, InstanceState, NodeAddress, NodeRecord};
@@ -162,7 +162,8 @@
     found.map(|record| (record.boot_id, record.sequence))
 }
 
-/// A test case: the record known here, the record reported by another coordinator, and the expected entry.
+/// A test case: the record known here, the record reported by another coordinator, and the expected
+/// entry.
 struct MergeCase {
     name: &'static str,
     /// Boot id, sequence, and time of the report here.
@@ -304,17 +305,19 @@
     let remaining = |record: &NodeRecord| {
         record.instance.as_ref().expect("the record has an instance").cold_remaining_ms
     };
-    let told = |registry: &Registry| remaining(&registry.changes_since(None).changed[0]);
-    assert_eq!(told(&registry), 3_000);
+    let listed_remaining =
+        |registry: &Registry| remaining(&registry.changes_since(None).changed[0]);
+    assert_eq!(listed_remaining(&registry), 3_000);
     registry.expire(11_000);
-    assert_eq!(told(&registry), 2_000);
+    assert_eq!(listed_remaining(&registry), 2_000);
     let heard = registry.heard(&[address(1)], 11_200);
     assert_eq!(remaining(&heard[0].record), 1_800, "for other coordinators");
-    // The remaining cold time of a record reported by another coordinator continues to decrease here.
+    // The remaining cold time of a record reported by another coordinator continues to decrease
+    // here.
     let mut other = Registry::new(LEASE_MS);
     other.merge_from_peer(heard[0].clone(), 11_300);
     other.expire(12_300);
-    assert_eq!(told(&other), 800);
+    assert_eq!(listed_remaining(&other), 800);
     // Its sidecar restarts after the cold time: the upstream is warm.
     registry.alive(&address(1), 7, 13_900);
     registry.expire(14_000);
--- a/crates/coordinator/tests/simulated_membership.rs
+++ b/crates/coordinator/tests/simulated_membership.rs
@@ -162,8 +162,8 @@
     }
 
     fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, packet: Packet) {
-        // Most packets take far less than a tick. Delays as long as the randomization of election timeouts
-        // would cause repeated split votes (docs/FINDINGS.md).
+        // Most packets take far less than a tick. Delays as long as the randomization of election
+        // timeouts would cause repeated split votes (docs/FINDINGS.md).
         let delay = if self.random.u8(0..10) == 0 { self.random.u64(1..3) } else { 0 };
         if self.random.u8(0..100) > 1 {
             self.packets.push_back((self.now + delay, from, to, packet));
@@ -299,7 +299,8 @@
         }
     }
 
-    /// Checks that no acknowledged command is missing, once all processes run and have applied all commits.
+    /// Checks that no acknowledged command is missing, once all processes run and have applied all
+    /// commits.
     fn check_acknowledged(&self) -> Result<(), String> {
         let longest = self.histories().into_iter().max_by_key(|history| history.len());
         let held: BTreeSet<u64> = longest.into_iter().flatten().copied().collect();
@@ -350,7 +351,8 @@
     }
 }
 
-/// Runs a fleet through tolerable faults and a phase without faults; the error describes the violation.
+/// Runs a fleet through tolerable faults and a phase without faults; the error describes the
+/// violation.
 fn run_simulation(machines: u8, seed: u64, defect: Option<Defect>) -> Result<(), String> {
     let mut world = World::new(machines, seed, defect);
     let mut next_host = machines + 1;
@@ -455,8 +457,8 @@
     assert!((0..400).any(|seed| run_simulation(3, seed, defect).is_err()));
 }
 
-/// Two voters lose their disks at the same time, and all other machines restart with theirs. Checks that the
-/// group makes progress and that no acknowledged command is lost.
+/// Two voters lose their disks at the same time, and all other machines restart with theirs. Checks
+/// that the group makes progress and that no acknowledged command is lost.
 fn simulate_two_lost_disks(voters: usize, seed: u64) -> Result<(), String> {
     let mut world = World::of_voters(voters, 6, seed, None);
     for _ in 0..FAULT_FREE_TICKS {
--- a/crates/mesh/src/hop.rs
+++ b/crates/mesh/src/hop.rs
@@ -7,10 +7,11 @@
 /// Header of a `100 Continue` response: the number of further bytes of an offered body that may be
 /// sent. Without it, as in responses of sidecars of an earlier version, the whole body may be sent.
 pub const GRANT_HEADER: &str = "x-chutecove-grant";
-/// Maximum size of a body that is sent without an offer (`Expect: 100-continue`), on any link, bytes.
+/// Maximum size of a body that is sent without an offer (`Expect: 100-continue`), on any link,
+/// bytes.
 const MAX_UNOFFERED_BYTES: f64 = 8.0 * 1024.0;
-/// Maximum time for which a body sent without an offer occupies a link, milliseconds: the time of 1 kB
-/// at 1 Mbit/s, the link speed for which offers were first simulated (docs/design/0014).
+/// Maximum time for which a body sent without an offer occupies a link, milliseconds: the time of 1
+/// kB at 1 Mbit/s, the link speed for which offers were first simulated (docs/design/0014).
 const MAX_UNOFFERED_MS: f64 = 8.0;
 
 /// Maximum size of a body that is sent without an offer over a link of the given throughput, bytes.
@@ -30,7 +31,8 @@
 }
 
 /// Metadata that the caller's sidecar sends to the upstream's sidecar. Encoded as a header value of
-/// eleven words separated by spaces; the seventh is `-` for any instance, the last four are optional.
+/// eleven words separated by spaces; the seventh is `-` for any instance, the last four are
+/// optional.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HopRequest {
     /// Remaining time of the whole call, milliseconds.
@@ -49,13 +51,14 @@
     pub instance: Option<String>,
     /// Departure time; absent from sidecars of an earlier version.
     pub departure: Option<Departure>,
-    /// Whether an upstream crashed while it ran this call or an identical one, so that the call may crash
-    /// the next upstream as well. Sidecars of an earlier version neither set nor evaluate it.
+    /// Whether an upstream crashed while it ran this call or an identical one, so that the call may
+    /// crash the next upstream as well. Sidecars of an earlier version neither set nor evaluate it.
     pub suspect: bool,
-    /// Whether an upstream call that holds a slot elsewhere waits for this one: a refusal would waste the
-    /// work that it has already done.
+    /// Whether an upstream call that holds a slot elsewhere waits for this one: a refusal would
+    /// waste the work that it has already done.
     pub begun: bool,
-    /// Whether the call was sent to another upstream before; the calls that it makes are then repeats.
+    /// Whether the call was sent to another upstream before; the calls that it makes are then
+    /// repeats.
     pub repeat: bool,
     /// Whether another upstream has it at the same time: a hedged second attempt.
     pub hedge: bool,
@@ -157,8 +160,8 @@
 }
 
 /// Metadata that the upstream's sidecar adds to every response. Encoded as a header value of the
-/// outcome and eighteen numbers or words separated by spaces; the last eleven are optional. For a call in
-/// quarantine, the ids of two crashes follow as hexadecimal numbers.
+/// outcome and eighteen numbers or words separated by spaces; the last eleven are optional. For a
+/// call in quarantine, the ids of two crashes follow as hexadecimal numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HopReply {
     /// Outcome of the call.
@@ -198,8 +201,8 @@
     pub egress_bytes_per_ms: u32,
     /// Whether a refusal is due to lack of capacity on that link rather than lack of a slot.
     pub link_full: bool,
-    /// Current service time of the upstream, percent of the usual service time of its service; 0 if not
-    /// known.
+    /// Current service time of the upstream, percent of the usual service time of its service; 0 if
+    /// not known.
     pub pace_percent: u32,
     /// The same as reported by the upstream itself, percent; 0 if not reported.
     pub told_pace_percent: u32,
--- a/crates/mesh/src/link.rs
+++ b/crates/mesh/src/link.rs
@@ -58,14 +58,15 @@
         /// The id that was removed.
         member: u64,
     },
-    /// Periodic heartbeat that states the position up to which the sender's list of directly connected
-    /// sidecars is valid.
+    /// Periodic heartbeat that states the position up to which the sender's list of directly
+    /// connected sidecars is valid.
     ListHeartbeat {
         /// The sender.
         member: u64,
         /// Its zone; empty if none is configured.
         zone: String,
-        /// Random number chosen at each start of the sender; positions of different epochs are unrelated.
+        /// Random number chosen at each start of the sender; positions of different epochs are
+        /// unrelated.
         epoch: u64,
         /// Position of the latest change of the list.
         position: u64,
@@ -106,12 +107,13 @@
         /// The records, with the time since each sidecar was last heard from.
         nodes: Vec<HeardNode>,
     },
-    /// Recently changed loads, as reported to the sender by sidecars that are linked to it.
+    /// Recently changed loads that the sender's own subscribers reported to it.
     Loads {
         /// One entry per upstream.
         loads: Vec<NodeLoad>,
     },
-    /// Canary outcomes that a sidecar reported to the sender; for the leader, which evaluates the canary.
+    /// Canary outcomes that a sidecar reported to the sender; for the leader, which evaluates the
+    /// canary.
     Evidence {
         /// The sidecar.
         node: NodeAddress,
@@ -125,8 +127,8 @@
         /// In the order of arrival.
         notices: Vec<PoisonNotice>,
     },
-    /// Requests credits that the sender's pools lack; answered with the credits that the receiver can
-    /// spare.
+    /// Requests credits that the sender's pools lack; answered with the credits that the receiver
+    /// can spare.
     CreditPull {
         /// The sender.
         member: u64,
@@ -211,8 +213,8 @@
     Config {
         /// Its generation; 0 if there is none yet.
         generation: u64,
-        /// Whether the coordinator knows of a leader. Otherwise it may be outdated, and the sidecar applies
-        /// the content only after that generation is announced.
+        /// Whether the coordinator knows of a leader. Otherwise it may be outdated, and the sidecar
+        /// applies the content only after that generation is announced.
         confirmed: bool,
         /// Its content, relative to the configuration that the sidecar has.
         update: BundleUpdate,
@@ -246,8 +248,8 @@
         /// One entry for each service that ever had a canary; other services accept any version.
         policies: Vec<VersionPolicy>,
     },
-    /// The evacuated zones, whose upstreams receive no calls. Replaces any older revision, from whichever
-    /// coordinator it came.
+    /// The evacuated zones, whose upstreams receive no calls. Replaces any older revision, from
+    /// whichever coordinator it came.
     Evacuations {
         /// Log position of the latest change.
         revision: u64,
--- a/crates/mesh/src/poison.rs
+++ b/crates/mesh/src/poison.rs
@@ -40,15 +40,15 @@
 pub struct QuarantineEntry {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Known crashes attributed to it, newest last. Empty if none were reported, for example by sidecars
-    /// of an earlier version.
+    /// Known crashes attributed to it, newest last. Empty if none were reported, for example by
+    /// sidecars of an earlier version.
     pub crashes: Vec<CrashId>,
     /// Remaining time in quarantine, milliseconds.
     pub left_ms: u64,
 }
 
-/// Clears a request of a set of crashes. Crashes that are not listed still count against the request,
-/// so the order in which nodes receive crash reports and clearings does not matter.
+/// Clears a request of a set of crashes. Crashes that are not listed still count against the
+/// request, so the order in which nodes receive crash reports and clearings does not matter.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Clearing {
     /// The request.
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -52,8 +52,8 @@
 pub struct CreditRequest {
     /// When it was sent, in milliseconds of the sidecar's clock.
     pub asked_at: u64,
-    /// Whether the sidecar lends its own share of all quotas to this coordinator's pool for a short time;
-    /// it lends to one coordinator at a time.
+    /// Whether the sidecar lends its own share of all quotas to this coordinator's pool for a short
+    /// time; it lends to one coordinator at a time.
     pub lends: bool,
     /// Demand by tenant.
     pub asks: Vec<CreditAsk>,
--- a/crates/mesh/src/record.rs
+++ b/crates/mesh/src/record.rs
@@ -31,14 +31,14 @@
     }
 }
 
-/// Lifecycle state of an upstream. States are ordered in time; an upstream never returns to an earlier
-/// state.
+/// Lifecycle state of an upstream. States are ordered in time; an upstream never returns to an
+/// earlier state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum InstanceState {
     /// Accepts calls.
     Ready,
-    /// Completes the calls it has and accepts no new ones.
+    /// Completes the calls that it has.
     Draining,
     /// Announced that it exits.
     Left,
@@ -66,10 +66,11 @@
     pub state: InstanceState,
     /// Number of requests that it executes concurrently.
     pub slots: u32,
-    /// Remaining duration of its slow phase after a start, milliseconds from when the record was sent.
+    /// Remaining duration of its slow phase after a start, milliseconds from when the record was
+    /// sent.
     pub cold_remaining_ms: u32,
-    /// Start time, Unix milliseconds of its own clock; 0 if not reported. An upstream may restart with
-    /// the same id: id and start time together identify an incarnation.
+    /// Start time, Unix milliseconds of its own clock; 0 if not reported. An upstream may restart
+    /// with the same id: id and start time together identify an incarnation.
     pub born_ms: u64,
 }
 
@@ -90,14 +91,15 @@
 }
 
 impl Incarnation {
-    /// Whether both may be the same incarnation: if a start time is missing, only the ids are compared.
+    /// Whether both may be the same incarnation: if a start time is missing, only the ids are
+    /// compared.
     pub fn may_equal(&self, other: &Self) -> bool {
         let unreported = self.born_ms == 0 || other.born_ms == 0;
         self.id == other.id && (unreported || self.born_ms == other.born_ms)
     }
 
-    /// A name that is unique among the upstream's incarnations at one sidecar, if the start time was
-    /// reported.
+    /// A name that is unique among the upstream's incarnations at one sidecar, if the start time
+    /// was reported.
     pub fn name(&self) -> String {
         match self.born_ms {
             0 => self.id.clone(),
--- a/crates/mesh/src/version.rs
+++ b/crates/mesh/src/version.rs
@@ -1,9 +1,10 @@
-//! Versions of upstreams: which of them may receive calls, and the outcomes of the calls they received.
+//! Versions of upstreams: which of them may receive calls, and the outcomes of the calls they
+//! received.
 
 use speedy::{Readable, Writable};
 
-/// Maximum length of a version name, bytes; longer ones are rejected in a canary order and truncated in
-/// a record.
+/// Maximum length of a version name, bytes; longer ones are rejected in a canary order and
+/// truncated in a record.
 pub const MAX_VERSION_BYTES: usize = 128;
 /// The share of all calls, in the unit of [`CandidateShare::permille`].
 pub const WHOLE_PERMILLE: u16 = 1_000;
@@ -45,8 +46,8 @@
 }
 
 impl VersionPolicy {
-    /// Role of a version's upstreams. A version that is not mentioned is stable: a new version requires
-    /// a canary order, which is received here before the version's first upstream.
+    /// Role of a version's upstreams. A version that is not mentioned is stable: a new version
+    /// requires a canary order, which is received here before the version's first upstream.
     pub fn track(&self, version: &str) -> Track {
         let candidate = self.candidate.as_ref();
         let whole = candidate.is_some_and(|candidate| candidate.permille >= WHOLE_PERMILLE);
@@ -117,8 +118,8 @@
     pub outcomes: ClassOutcomes,
 }
 
-/// Outcomes that one sidecar recorded at its upstream since a canary began. They are cumulative, so lost
-/// or duplicate messages do no harm.
+/// Outcomes that one sidecar recorded at its upstream since a canary began. They are cumulative, so
+/// lost or duplicate messages do no harm.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct VersionEvidence {
     /// The canary.
