--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Thousandths in one.
-const MILLI: f64 = 1_000.0;
+/// Thousandths in one unit.
+const MILLIS_PER_UNIT: f64 = 1_000.0;
 
 /// A configuration that is ready to be put in force.
 struct Prepared {
@@ -19,8 +19,9 @@
     tenants: Rc<Tenants>,
 }
 
-/// The newest configuration applied; it is replaced whole and never goes back. One that a
-/// coordinator without a leader told is only prepared: it is put in force once it is announced.
+/// The newest applied configuration. It is always replaced as a whole, and never by an older one. A
+/// configuration received from a coordinator without a leader is only prepared, and put in force
+/// once it is announced.
 #[derive(Default)]
 pub struct Config {
     bundle: Bundle,
@@ -29,12 +30,12 @@
     digester: KeyDigester,
     prepared: Option<Prepared>,
     limits: CallLimits,
-    /// What coordinators say of the newest generation.
+    /// The newest generation known to the coordinators.
     pub freshness: ConfigFreshness,
 }
 
 impl Config {
-    /// The routes; `None` before the first configuration.
+    /// The routing table; `None` before the first configuration.
     pub fn routing(&self) -> Option<&RoutingTable> {
         self.routing.as_ref()
     }
@@ -44,7 +45,8 @@
         &self.tenants
     }
 
-    /// Which tenant a call is of, by the keys that its caller shows; `None` if it needs none.
+    /// Identifies the tenant of a call by the keys that the caller presents; `None` if no tenant is
+    /// required.
     pub fn tenant_of_call<'a>(
         &self,
         keyless: bool,
@@ -59,33 +61,34 @@
         }
     }
 
-    /// The bounds on calls.
+    /// The limits on calls.
     pub fn limits(&self) -> &CallLimits {
         &self.limits
     }
 
-    /// What upstreams of a service bear while they are cold.
+    /// The limits of a service's upstreams while they are cold.
     pub fn cold_start(&self, service: &str) -> Option<ColdStart> {
         self.bundle.services().find(|held| held.name == service)?.cold_start
     }
 
-    /// What an upstream told of itself, cold for no longer than upstreams of its service are.
-    pub fn bounded_cold(&self, record: &InstanceRecord, service: &str) -> InstanceRecord {
+    /// The state reported by an upstream, with its cold time capped at the configured one of its
+    /// service.
+    pub fn with_capped_cold_time(&self, record: &InstanceRecord, service: &str) -> InstanceRecord {
         let longest_ms =
             self.cold_start(service).map_or(u32::MAX, |cold_start| cold_start.lasts_ms);
         let cold_remaining_ms = record.cold_remaining_ms.min(longest_ms);
         InstanceRecord { cold_remaining_ms, ..record.clone() }
     }
 
-    /// The services whose cold upstreams bear less, with what they bear, calls a second.
+    /// The services that limit their cold upstreams, with the allowed calls per second.
     pub fn cold_rates(&self) -> impl Iterator<Item = (&str, f64)> {
         let rated = |service: &'_ Service| service.cold_start.map(|cold| cold.rate_milli);
         self.bundle.services().filter_map(move |service| {
-            Some((service.name.as_str(), f64::from(rated(service)?) / MILLI))
+            Some((service.name.as_str(), f64::from(rated(service)?) / MILLIS_PER_UNIT))
         })
     }
 
-    /// Digest of the newest content held, in force or prepared.
+    /// Digest of the newest content held, whether in force or prepared.
     pub fn digest(&self) -> Digest {
         self.newest_held().digest()
     }
@@ -94,17 +97,17 @@
         self.prepared.as_ref().map_or(&self.bundle, |prepared| &prepared.bundle)
     }
 
-    /// Generation applied; 0 before the first.
+    /// Generation in force; 0 before the first.
     pub fn generation(&self) -> u64 {
         self.routing.as_ref().map_or(0, |routing| routing.generation)
     }
 
-    /// Whether what is held is known to be the newest, or was a moment ago.
+    /// Whether the generation in force was recently confirmed to be the newest.
     pub fn is_current(&self, now: Millis) -> bool {
         self.freshness.confirms(self.generation(), now)
     }
 
-    /// Applies a generation; true if it is in force now.
+    /// Applies a generation; returns true if it is now in force.
     pub fn apply(&mut self, generation: u64, update: &BundleUpdate) -> bool {
         if !self.prepare(generation, update) {
             return false;
@@ -112,7 +115,7 @@
         self.put_in_force(generation)
     }
 
-    /// Makes a generation ready without putting it in force; true if it is ready.
+    /// Prepares a generation without putting it in force; returns true if it is ready.
     pub fn prepare(&mut self, generation: u64, update: &BundleUpdate) -> bool {
         if generation <= self.generation() {
             return false;
@@ -138,7 +141,7 @@
         true
     }
 
-    /// Puts the generation that was made ready in force, if it is this one and newer than what is
+    /// Puts the prepared configuration in force if it has this generation and is newer than the one
     /// in force.
     pub fn put_in_force(&mut self, generation: u64) -> bool {
         let fits = |prepared: &mut Prepared| prepared.routing.generation == generation;
--- a/crates/sidecar/src/dialect.rs
+++ b/crates/sidecar/src/dialect.rs
@@ -1,75 +1,74 @@
-//! The names and formats that callers and upstreams use: the runtime knows what to do, a dialect
-//! how it is said.
+//! The header names and message formats that callers and upstreams use. A dialect only translates
+//! them; the decisions are made by the runtime.
 
 use mesh::{Incarnation, InstanceRecord};
 
-/// Header names between callers, sidecars and upstreams.
+/// Names of the headers between callers, sidecars and upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
     /// Id of one attempt of a caller, chosen by the caller.
     pub attempt_id: &'static str,
-    /// Time left, milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Proof of an upstream that the answer is its own.
+    /// Proof by the upstream that it produced the answer.
     pub seal: &'static str,
     /// Incarnation that must run the request.
     pub expect_instance: &'static str,
     /// Set by an upstream that did not run the request.
     pub not_run: &'static str,
-    /// Service on whose machine the request began.
+    /// Service on whose machine the request originated.
     pub caller: &'static str,
-    /// Key of a caller's tenant; never passed on.
+    /// API key of the caller's tenant; never passed on.
     pub api_key: &'static str,
     /// Name of the tenant, for upstreams.
     pub tenant: &'static str,
-    /// What an upstream tells of its load with an answer.
+    /// Load that an upstream reports with an answer.
     pub load: &'static str,
 }
 
-/// What an upstream tells of its load.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it works on.
+    /// Requests it is working on.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are queued there.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests it works on at once.
     pub slots: u32,
-    /// How long work takes there now, percent of what is usual at its service.
+    /// Current duration of its work, in percent of the usual duration at its service.
     pub pace_percent: Option<u32>,
 }
 
-/// What an upstream tells of itself.
+/// A registration message from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistrationCall {
-    /// It lives.
+    /// The upstream is alive.
     Heartbeat {
         /// State of the incarnation.
         record: InstanceRecord,
-        /// Its service, as it says.
+        /// The service that it claims to belong to.
         service: String,
-        /// Order among its messages.
+        /// Sequence number of the message.
         sequence: u64,
     },
-    /// It ends.
+    /// The upstream is ending.
     Leave {
-        /// Which incarnation; without the time of its start, the one that is known by that id.
+        /// The incarnation; without the time of its start, the one known by that id.
         incarnation: Incarnation,
     },
-    /// It cannot be read.
+    /// The message is invalid.
     Unreadable {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// Translates between an upstream's format and the product's types. It decides nothing.
+/// Translates between an upstream's format and the product's types, without making decisions.
 pub trait RegistrationDialect {
-    /// Reads a request; `None` if it is no call of upstreams.
+    /// Reads a request; `None` if it is not a registration message.
     fn read(&self, method: &str, target: &str, body: &[u8]) -> Option<RegistrationCall>;
 
-    /// Reads what an upstream tells of its load with an answer; `None` if it tells nothing, or nothing
-    /// that can be read.
+    /// Reads the load that an upstream reports with an answer; `None` if it is missing or invalid.
     fn read_load(&self, value: &str) -> Option<ReportedLoad>;
 
     /// Path of the readiness check.
--- a/crates/sidecar/src/jobs/arrival.rs
+++ b/crates/sidecar/src/jobs/arrival.rs
@@ -1,4 +1,5 @@
-//! Calls that arrive: which are for the upstream, which it has room for, and why the others are refused.
+//! Admission of incoming calls: whether a call is meant for this upstream, whether there is
+//! capacity for it, and the reason for each refusal.
 
 use super::{Job, JobAction, Jobs, Refusal, Source};
 use crate::Millis;
@@ -8,32 +9,34 @@
 use quarantine::Standing;
 use std::rc::Rc;
 
-/// A call that waited longer than this on its way is not run, milliseconds: its caller may have left
-/// meanwhile, and word of that waits in the same queues. A caller's leave takes effect within 500 ms;
-/// the rest is for the way to the upstream.
-const LONGEST_WAY_MS: u64 = 400;
+/// Calls that took longer than this to arrive are refused, in milliseconds: the caller may have
+/// left in the meantime, and its cancellation would be waiting in the same queues. A caller's
+/// departure takes effect within 500 ms; the difference is reserved for the delivery to the
+/// upstream.
+const MAX_TRANSIT_MS: u64 = 400;
 
-/// Where a call's time went before it was here whole, milliseconds.
+/// Time that a call spent before it had arrived completely, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Way {
-    /// In queues of links.
+pub(super) struct TransitDelay {
+    /// Time in link queues.
     pub waited_ms: u64,
-    /// From its offer, until its body was here.
+    /// Time from the offer of its body until the body had arrived.
     pub offered_ms: u64,
 }
 
-impl Way {
-    /// Why nobody may wait for the call any more.
-    pub fn too_late(self, hop: &HopRequest) -> Option<&'static str> {
+impl TransitDelay {
+    /// The reason to refuse the call if it arrived so late that its caller may no longer be
+    /// waiting.
+    pub fn late_reason(self, hop: &HopRequest) -> Option<&'static str> {
         if self.waited_ms + self.offered_ms >= hop.deadline_ms {
             return Some("deadline_passed");
         }
-        (self.waited_ms > LONGEST_WAY_MS).then_some("late_on_the_way")
+        (self.waited_ms > MAX_TRANSIT_MS).then_some("late_on_the_way")
     }
 }
 
 impl Jobs {
-    /// Takes in a call for the upstream.
+    /// Handles a call for the upstream that has arrived completely.
     pub fn begin(
         &mut self,
         source: Source,
@@ -43,33 +46,34 @@
     ) -> Vec<JobAction> {
         let offered_ms = self.offers.end(source, now).unwrap_or(0);
         let since_departure_ms = self.since_departure_ms(hop, now).max(offered_ms);
-        let way = Way { waited_ms: since_departure_ms - offered_ms, offered_ms };
-        let mut actions = self.admit(source, request, hop, way, now);
-        actions.extend(self.grant(now));
+        let delay = TransitDelay { waited_ms: since_departure_ms - offered_ms, offered_ms };
+        let mut actions = self.admit(source, request, hop, delay, now);
+        actions.extend(self.grant_transfers(now));
         actions
     }
 
-    /// How long a call waited since it left its sender, as far as clocks tell, milliseconds.
+    /// Time since the call left its sender, in milliseconds, estimated from the sender's clock; 0
+    /// if the sender did not state its departure.
     pub(super) fn since_departure_ms(&mut self, hop: &HopRequest, now: Millis) -> u64 {
         hop.departure.map_or(0, |departure| self.transits.waited_ms(departure, now))
     }
 
-    /// Takes in a call that is here whole.
+    /// Admits or refuses a call that has arrived completely.
     fn admit(
         &mut self,
         source: Source,
         request: Rc<Request>,
         hop: &HopRequest,
-        way: Way,
+        delay: TransitDelay,
         now: Millis,
     ) -> Vec<JobAction> {
         let attempt_id = request.headers.text(self.names.attempt_id).unwrap_or("-").to_owned();
-        let Way { waited_ms, offered_ms } = way;
+        let TransitDelay { waited_ms, offered_ms } = delay;
         let standing = self.poison.standing(&self.service, &request, now);
         let suspect = hop.suspect || standing == Standing::Suspect;
-        let barred = self.mismatch(hop, now).or(way.too_late(hop));
-        if let Some(reason) = barred.or_else(|| self.keeps_away(standing, suspect)) {
-            let refusal = self.kept_away(&attempt_id, reason, way, standing, &request);
+        let ineligible = self.ineligible_reason(hop, now).or(delay.late_reason(hop));
+        if let Some(reason) = ineligible.or_else(|| self.quarantine_reason(standing, suspect)) {
+            let refusal = self.early_refusal(&attempt_id, reason, delay, standing, &request);
             return vec![self.refuse(source, refusal, now)];
         }
         let kind = EgressKind { rank: hop.rank, target_ms: hop.target_ms };
@@ -94,7 +98,7 @@
         let ticket = Ticket { job, begun, rank, tenant, target_ms, patience_ms, deadline };
         let decision = self.admission.submit(ticket, now);
         if let Decision::Refuse { retry_after_ms } = decision {
-            let reason = self.why_no_room(now);
+            let reason = self.no_room_reason(now);
             let refusal = no_room(&attempt_id, reason, offered_ms, retry_after_ms);
             return vec![self.refuse(source, refusal, now)];
         }
@@ -123,12 +127,12 @@
         }
     }
 
-    /// The refusal of a call that is not for the upstream, or is kept from it.
-    fn kept_away<'a>(
+    /// Builds the refusal of a call that is not eligible for this upstream or is quarantined.
+    fn early_refusal<'a>(
         &self,
         id: &'a str,
         reason: &'a str,
-        way: Way,
+        delay: TransitDelay,
         standing: Standing,
         request: &Request,
     ) -> Refusal<'a> {
@@ -141,24 +145,25 @@
         Refusal {
             id,
             reason,
-            held_ms: way.offered_ms,
-            retry_after_ms: way.waited_ms,
+            held_ms: delay.offered_ms,
+            retry_after_ms: delay.waited_ms,
             quarantine_left_ms,
             quarantine_crashes,
             link_full: false,
         }
     }
 
-    /// When a call whose answer must leave over a link without room for it may come back,
-    /// milliseconds; `None` if it may run now. What a begun run waits for is never refused for that.
+    /// If the answer must leave over a link that has no room for it, the time after which the call
+    /// may be retried, in milliseconds; `None` if the call may run now. Calls made by a job that is
+    /// already running are never refused for this reason.
     fn link_refusal(
         &mut self,
-        bound: bool,
+        needs_link: bool,
         kind: EgressKind,
         time: EgressTime,
         now: Millis,
     ) -> Option<u64> {
-        let refused = match bound {
+        let refused = match needs_link {
             true => self.egress.check_room(kind, time, now).err(),
             false => None,
         };
@@ -166,8 +171,9 @@
         refused
     }
 
-    /// Why a call has no room in the queue; counts those that a cold upstream does not bear.
-    fn why_no_room(&mut self, now: Millis) -> &'static str {
+    /// The reason why the queue has no room for a call. Counts the refusals that are due to a cold
+    /// upstream.
+    fn no_room_reason(&mut self, now: Millis) -> &'static str {
         if !self.admission.is_held_by_cold(now) {
             return "no_room";
         }
@@ -175,9 +181,10 @@
         "cold"
     }
 
-    /// Why a request is kept from the upstream for what it may do to it. Of suspects, one runs at a
-    /// time: should it end the upstream, it is known which did, and the others are not run in vain.
-    fn keeps_away(&self, standing: Standing, suspect: bool) -> Option<&'static str> {
+    /// The reason to keep a call from the upstream because its request may crash it. Only one
+    /// suspect runs at a time: if the upstream crashes, the culprit is known, and the other
+    /// suspects have not been run for nothing.
+    fn quarantine_reason(&self, standing: Standing, suspect: bool) -> Option<&'static str> {
         if matches!(standing, Standing::Quarantined { .. }) {
             return Some("quarantined");
         }
@@ -185,8 +192,8 @@
         another.then_some("another_suspect_runs")
     }
 
-    /// Why a call is not for the upstream beside this sidecar, or not now.
-    pub(super) fn mismatch(&self, hop: &HopRequest, now: Millis) -> Option<&'static str> {
+    /// The reason why a call is not eligible for this upstream at the moment, if there is one.
+    pub(super) fn ineligible_reason(&self, hop: &HopRequest, now: Millis) -> Option<&'static str> {
         if self.closed {
             return Some("stopping");
         }
@@ -196,7 +203,7 @@
         if hop.instance.as_deref().is_some_and(|id| Some(id) != self.gate.id()) {
             return Some("other_instance");
         }
-        if self.gate.version().is_some_and(|version| self.trial.bars(version)) {
+        if self.gate.version().is_some_and(|version| self.trial.is_barred(version)) {
             return Some("version_barred");
         }
         if self.evacuated {
--- a/crates/sidecar/src/jobs/at_work.rs
+++ b/crates/sidecar/src/jobs/at_work.rs
@@ -1,21 +1,21 @@
-//! What the upstream works on, by the ids of calls, and who asks for what a run asks for.
+//! Tracks the running jobs by call id, to recognise the calls that these jobs make.
 
 use super::Jobs;
 use crate::calls::Lineage;
 
-/// Between the id of a run and what tells its calls apart.
+/// Separates the id of a job from the suffix that distinguishes the calls it makes.
 const ID_SEPARATOR: char = '.';
 
-/// Jobs of one id that the upstream works on.
+/// Running jobs that share one call id.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct AtWork {
+pub(super) struct ActiveRuns {
     jobs: u32,
-    /// Whether another upstream had the call before.
+    /// Whether any of the jobs is a retry of a call that another upstream received before.
     repeated: bool,
 }
 
-impl AtWork {
-    /// Notes that a job begins; `repeat`: another upstream had the call before.
+impl ActiveRuns {
+    /// Records the start of a job; `repeat` is true if another upstream received the call before.
     pub fn note_start(&mut self, repeat: bool) {
         self.jobs += 1;
         self.repeated |= repeat;
@@ -23,24 +23,24 @@
 }
 
 impl Jobs {
-    /// Notes that a job of this id is over.
-    pub(super) fn forget_work(&mut self, attempt_id: &str) {
-        let Some(work) = self.at_work.get_mut(attempt_id) else {
+    /// Records that a job with this id has ended.
+    pub(super) fn release_run(&mut self, attempt_id: &str) {
+        let Some(work) = self.active_runs.get_mut(attempt_id) else {
             return;
         };
         work.jobs -= 1;
         if work.jobs == 0 {
-            self.at_work.remove(attempt_id);
+            self.active_runs.remove(attempt_id);
         }
     }
 
-    /// Who asks for a call of this id, given on this machine. Ids of calls made by a run are those
-    /// of the run with a part of their own behind a dot, as hierarchical trace ids are; an id that
-    /// extends none of a run under way here is taken for a caller's.
+    /// Determines the origin of a call made on this machine from its id. Calls made by a job carry
+    /// the id of the job followed by a dot and a suffix, like hierarchical trace ids. If no running
+    /// job has the prefix as its id, the call is attributed to a caller.
     pub fn lineage(&self, attempt_id: &str) -> Lineage {
         let run = attempt_id.rsplit_once(ID_SEPARATOR).map(|(run, _)| run);
-        match run.and_then(|run| self.at_work.get(run)) {
-            Some(AtWork { repeated: true, .. }) => Lineage::RepeatedWork,
+        match run.and_then(|run| self.active_runs.get(run)) {
+            Some(ActiveRuns { repeated: true, .. }) => Lineage::RepeatedWork,
             Some(_) => Lineage::BegunWork,
             None => Lineage::Caller,
         }
--- a/crates/sidecar/src/jobs/crash.rs
+++ b/crates/sidecar/src/jobs/crash.rs
@@ -1,9 +1,11 @@
-//! Whether a run that ended without an answer is one lost answer, or the end of the upstream.
+//! Distinguishes a single lost answer from a crash of the upstream.
 //!
-//! An upstream that lost one answer still takes connections. So the job is held, its slot taken,
-//! until a connection was tried: some milliseconds on one machine. Senders that were told at once
-//! would carry what crashed this upstream to the next one before anybody knew. An upstream ends bit
-//! by bit, and may take a connection while it does: so one that was taken is looked at once more.
+//! An upstream that lost only one answer still accepts connections. A job that ended without an
+//! answer is therefore held back, with its slot occupied, until a connection attempt has shown
+//! whether the upstream is alive; this takes a few milliseconds on one machine. If the senders were
+//! told at once, they would retry the request that crashed this upstream at the next one before the
+//! crash was known. A terminating process closes its sockets one after the other and may still
+//! accept a connection, so a successful probe is repeated once.
 
 use super::{JobAction, Jobs, UpstreamEnd};
 use crate::Millis;
@@ -11,34 +13,34 @@
 use http1::ExchangeError;
 use mesh::{Fingerprint, Incarnation};
 
-/// Longest wait for the connection that is tried, milliseconds. An upstream that ended refuses it
-/// at once; one that neither takes nor refuses it is not known to have ended.
-const LONGEST_PROBE_MS: u64 = 100;
+/// Longest wait for the result of a probe, in milliseconds. A crashed upstream refuses the
+/// connection immediately; if it neither accepts nor refuses, a crash is not assumed.
+const PROBE_TIMEOUT_MS: u64 = 100;
 
-/// From a connection that was taken to the second look, milliseconds: longer than a process takes to
-/// close what it holds; stand-ins of the soak closed their listener up to 2 ms late.
-const SECOND_LOOK_MS: u64 = 5;
+/// Delay between a successful probe and the second one, in milliseconds: longer than a process
+/// takes to close its sockets. In soak tests, processes closed their listener up to 2 ms late.
+const SECOND_PROBE_DELAY_MS: u64 = 5;
 
-/// Runs that ended without an answer, and what is known of the upstream.
+/// Jobs that ended without an answer, and the state of the probe for them.
 #[derive(Debug, Default)]
-pub(super) struct CrashWatch {
-    held: Vec<(JobId, ExchangeError)>,
+pub(super) struct CrashDetector {
+    pending: Vec<(JobId, ExchangeError)>,
     probing_since: Option<Millis>,
-    /// When the connection that was taken is looked at once more.
-    second_look_at: Option<Millis>,
-    /// Whether this is the second look.
-    again: bool,
-    /// The incarnation that is known to have ended.
+    /// When the second probe is due, after the first one succeeded.
+    second_probe_at: Option<Millis>,
+    /// Whether the current probe is the second one.
+    second_probe: bool,
+    /// The last incarnation that is known to have ended.
     ended_instance: Option<Incarnation>,
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// Whether an incarnation is known to have ended.
     pub fn has_ended(&self, instance: Option<&Incarnation>) -> bool {
         instance.is_some() && instance == self.ended_instance.as_ref()
     }
 
-    /// Takes in that an incarnation was heard of: if it was taken for ended, it was not.
+    /// Records a sign of life from an incarnation, which is then no longer considered ended.
     pub fn note_registered(&mut self, instance: Option<&Incarnation>) {
         if self.has_ended(instance) {
             self.ended_instance = None;
@@ -47,7 +49,7 @@
 }
 
 impl Jobs {
-    /// Takes in that a run ended without a whole answer.
+    /// Handles a job that ended without a complete answer.
     pub(super) fn ended_unanswered(
         &mut self,
         id: JobId,
@@ -58,36 +60,36 @@
         if self.crash.has_ended(given_to) {
             return self.finish(id, UpstreamEnd::Failed(error), now);
         }
-        self.crash.held.push((id, error));
+        self.crash.pending.push((id, error));
         if self.crash.probing_since.is_some() {
             return Vec::new();
         }
         self.crash.probing_since = Some(now);
-        self.crash.again = false;
+        self.crash.second_probe = false;
         vec![JobAction::Probe { again: false }]
     }
 
-    /// Takes in whether the upstream took a connection after runs had ended without an answer.
+    /// Handles the result of a probe: whether the upstream accepted a connection.
     pub fn probed(&mut self, taken: bool, now: Millis) -> Vec<JobAction> {
         if self.crash.probing_since.is_none() {
             return Vec::new();
         }
-        if taken && !self.crash.again {
-            self.crash.second_look_at = Some(now + SECOND_LOOK_MS);
+        if taken && !self.crash.second_probe {
+            self.crash.second_probe_at = Some(now + SECOND_PROBE_DELAY_MS);
             return Vec::new();
         }
-        self.conclude(taken, now)
+        self.finish_probe(taken, now)
     }
 
-    fn conclude(&mut self, alive: bool, now: Millis) -> Vec<JobAction> {
+    fn finish_probe(&mut self, alive: bool, now: Millis) -> Vec<JobAction> {
         self.crash.probing_since = None;
-        self.crash.second_look_at = None;
+        self.crash.second_probe_at = None;
         if !alive {
             self.note_upstream_ended(now);
         }
-        let held = std::mem::take(&mut self.crash.held);
+        let pending = std::mem::take(&mut self.crash.pending);
         let finish = |(id, error)| self.finish(id, UpstreamEnd::Failed(error), now);
-        held.into_iter().flat_map(finish).collect()
+        pending.into_iter().flat_map(finish).collect()
     }
 
     fn note_upstream_ended(&mut self, now: Millis) {
@@ -96,29 +98,31 @@
         };
         let running = self.jobs.values().filter(|job| job.started.is_some());
         let running: Vec<Fingerprint> = running.map(|job| self.fingerprint(&job.request)).collect();
-        // Under its id alone, a second end would be taken for the first, told twice.
+        // Identified by the id alone, a second crash under the same id would be mistaken for a
+        // duplicate report of the first.
         self.poison.upstream_ended(&instance.name(), &running, now);
-        // Its peers must not take it for idle: it refuses at once, and would be tried first.
+        // Peers must learn of it: an ended upstream refuses immediately, would look idle, and would
+        // be tried first.
         self.instance_changed |= self.gate.ended(&instance.id);
         self.crash.ended_instance = Some(instance);
     }
 
-    /// Looks once more, or gives up waiting for the connection that is tried.
+    /// Starts the second probe when it is due, or gives up a probe that got no result in time.
     pub(super) fn tick_probe(&mut self, now: Millis) -> Vec<JobAction> {
         let due = |at: Option<Millis>| at.is_some_and(|at| at <= now);
-        if due(self.crash.probing_since.map(|since| since + LONGEST_PROBE_MS)) {
-            return self.conclude(true, now);
+        if due(self.crash.probing_since.map(|since| since + PROBE_TIMEOUT_MS)) {
+            return self.finish_probe(true, now);
         }
-        if !due(self.crash.second_look_at) {
+        if !due(self.crash.second_probe_at) {
             return Vec::new();
         }
-        self.crash.second_look_at = None;
-        self.crash.again = true;
+        self.crash.second_probe_at = None;
+        self.crash.second_probe = true;
         vec![JobAction::Probe { again: true }]
     }
 
     pub(super) fn next_probe_tick(&self) -> Option<Millis> {
-        let expiry = self.crash.probing_since.map(|since| since + LONGEST_PROBE_MS);
-        self.crash.second_look_at.into_iter().chain(expiry).min()
+        let expiry = self.crash.probing_since.map(|since| since + PROBE_TIMEOUT_MS);
+        self.crash.second_probe_at.into_iter().chain(expiry).min()
     }
 }
--- a/crates/sidecar/src/jobs/endings.rs
+++ b/crates/sidecar/src/jobs/endings.rs
@@ -1,4 +1,4 @@
-//! How jobs end: the upstream's answer, callers that leave, time; and who starts then.
+//! How jobs end (answers, cancellations, timeouts), and the start of queued jobs afterwards.
 
 use super::{
     Job, JobAction, Jobs, Refusal, Source, UpstreamEnd, REFUSED_STATUS, WRONG_INSTANCE_STATUS,
@@ -10,15 +10,15 @@
 use mesh::{CallClass, HopOutcome, HopReply};
 use tracing::info;
 
-/// A call whose deadline passed this long ago is taken from its upstream, milliseconds.
-const OVERTIME_MS: u64 = 150;
+/// Jobs are aborted at the upstream when their deadline has passed by this much, in milliseconds.
+const OVERDUE_GRACE_MS: u64 = 150;
 const UNKNOWN_STATUS: u16 = 502;
 const FIRST_FAILURE_STATUS: u16 = 300;
 const TOO_MANY_REQUESTS: u16 = 429;
 const FIRST_SERVER_ERROR: u16 = 500;
 
 impl Jobs {
-    /// Takes in how the upstream ended a job.
+    /// Handles the end of a job at the upstream.
     pub fn ended(&mut self, id: JobId, end: UpstreamEnd, now: Millis) -> Vec<JobAction> {
         match end {
             UpstreamEnd::Failed(error @ (ExchangeError::NoAnswer | ExchangeError::CutShort)) => {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tells what became of a job, and starts others.
+    /// Replies with the outcome of a job and starts queued jobs.
     pub(super) fn finish(&mut self, id: JobId, end: UpstreamEnd, now: Millis) -> Vec<JobAction> {
         let Some(job) = self.remove(id) else {
             return Vec::new();
@@ -40,19 +40,19 @@
             let instance = job.given_to.as_ref().map(|given_to| &given_to.id);
             info!(id = %job.attempt_id, %fingerprint, %error, ?instance, "upstream_failed");
         }
-        let (outcome, response) = self.judge(&job.attempt_id, end);
+        let (outcome, response) = self.classify(&job.attempt_id, end);
         if job.started.is_some() {
-            self.failures.note(is_upstreams_fault(outcome, response.status), now);
-            self.note_trial(job.class, outcome, response.status, spent_ms, now);
+            self.failures.note(counts_against_upstream(outcome, response.status), now);
+            self.note_canary_outcome(job.class, outcome, response.status, spent_ms, now);
         }
         self.note_egress(&job, outcome, &response, spent_ms);
-        let telling = outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS;
-        if telling {
+        let succeeded = outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS;
+        if succeeded {
             self.pace.note_run(spent_ms, job.usual_ms, now);
         }
-        self.admission.release(telling.then_some(spent_ms));
-        let ordinary = outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS;
-        if !ordinary || self.sample.includes(&job.attempt_id) {
+        self.admission.release(succeeded.then_some(spent_ms));
+        let routine = outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS;
+        if !routine || self.sample.includes(&job.attempt_id) {
             info!(
                 id = %job.attempt_id, ?outcome, status = response.status, spent_ms,
                 running = self.admission.running(), queued = self.admission.queued(), "job_ended"
@@ -71,11 +71,11 @@
         let reply = self.reply(outcome, spent_ms, retry_after_ms, now);
         let reply = HopReply { upstream_ended, ..reply };
         let mut actions = vec![JobAction::Reply { source: job.source, reply, response }];
-        actions.extend(self.start_waiting(now));
+        actions.extend(self.start_queued(now));
         actions
     }
 
-    /// Takes in what an answer takes of the link.
+    /// Records how much of the link the answer uses.
     fn note_egress(&mut self, job: &Job, outcome: HopOutcome, response: &Response, spent_ms: u64) {
         let bytes = response.body.len();
         if outcome == HopOutcome::Answered && response.status < FIRST_FAILURE_STATUS {
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Takes down what a canary is judged by. How long a cold upstream takes says nothing of its
-    /// version.
-    fn note_trial(
+    /// Records the outcome for the evaluation of a canary. Latencies of a cold upstream are left
+    /// out, since they say nothing about its version.
+    fn note_canary_outcome(
         &mut self,
         class: CallClass,
         outcome: HopOutcome,
@@ -96,15 +96,16 @@
         spent_ms: u64,
         now: Millis,
     ) {
-        if is_upstreams_fault(outcome, status) {
+        if counts_against_upstream(outcome, status) {
             self.trial.note_failed(class);
         } else if outcome == HopOutcome::Answered && !self.gate.is_cold(now) {
             self.trial.note_answered(class, spent_ms);
         }
     }
 
-    /// What the upstream's answer says of the request.
-    fn judge(&self, id: &str, end: UpstreamEnd) -> (HopOutcome, Response) {
+    /// Classifies the result from the upstream: whether the request ran, and which response is
+    /// passed on.
+    fn classify(&self, id: &str, end: UpstreamEnd) -> (HopOutcome, Response) {
         let answer = match end {
             UpstreamEnd::NotSent => return (HopOutcome::Refused, Response::empty(REFUSED_STATUS)),
             UpstreamEnd::Failed(_) => {
@@ -125,17 +126,17 @@
         (HopOutcome::Unknown, Response::empty(UNKNOWN_STATUS))
     }
 
-    pub(super) fn start_waiting(&mut self, now: Millis) -> Vec<JobAction> {
+    pub(super) fn start_queued(&mut self, now: Millis) -> Vec<JobAction> {
         let mut actions = Vec::new();
-        let barred = match self.gate.state(now) {
+        let closed_reason = match self.gate.state(now) {
             _ if self.evacuated => Some("zone_evacuated"),
             GateState::Open | GateState::Closing => None,
             GateState::Closed => Some("upstream_leaves"),
             GateState::Absent => Some("no_upstream"),
         };
-        if let Some(reason) = barred {
+        if let Some(reason) = closed_reason {
             for id in self.admission.clear() {
-                actions.extend(self.refuse_waiting(id, reason, now));
+                actions.extend(self.refuse_queued(id, reason, now));
             }
         }
         while let Some(id) = self.admission.start_next(now) {
@@ -147,7 +148,7 @@
         actions
     }
 
-    pub(super) fn refuse_waiting(
+    pub(super) fn refuse_queued(
         &mut self,
         id: JobId,
         reason: &str,
@@ -161,10 +162,10 @@
         Some(self.refuse(job.source, refusal, now))
     }
 
-    /// Nobody waits for a job any more.
+    /// Cancels a job whose caller is no longer waiting.
     pub fn cancel(&mut self, source: Source, now: Millis) -> Vec<JobAction> {
         if self.offers.end(source, now).is_some() {
-            return self.grant(now);
+            return self.grant_transfers(now);
         }
         let Some(id) = self.by_source.get(&source).copied() else {
             return Vec::new();
@@ -179,59 +180,60 @@
         self.admission.release(None);
         self.failures.note_cancelled(job.spent_ms(now), self.admission.service_ms(), now);
         let mut actions = vec![JobAction::Abort(id)];
-        actions.extend(self.start_waiting(now));
+        actions.extend(self.start_queued(now));
         actions
     }
 
-    /// A peer's connection ended: nobody waits for its jobs.
+    /// Cancels all jobs of a peer whose connection has ended.
     pub fn connection_ended(&mut self, connection: ConnectionId, now: Millis) -> Vec<JobAction> {
         let first = Source::Peer { connection, slot: 0 };
         let last = Source::Peer { connection, slot: Slot::MAX };
         let begun = self.by_source.range(first..=last).map(|(source, _)| *source);
-        let sources: Vec<Source> = begun.chain(self.offers.of(connection)).collect();
+        let sources: Vec<Source> = begun.chain(self.offers.of_connection(connection)).collect();
         sources.into_iter().flat_map(|source| self.cancel(source, now)).collect()
     }
 
-    /// Ends what waited or ran too long.
+    /// Ends jobs and offers that waited or ran for too long, and starts queued jobs.
     pub fn tick(&mut self, now: Millis) -> Vec<JobAction> {
         let mut actions = Vec::new();
-        self.mind_taken(now);
+        self.update_limit(now);
         for id in self.admission.expire(now) {
-            actions.extend(self.refuse_waiting(id, "waited_too_long", now));
+            actions.extend(self.refuse_queued(id, "waited_too_long", now));
         }
-        let late = |job: &Job| job.started.is_some() && job.deadline + OVERTIME_MS <= now;
+        let is_overdue =
+            |job: &Job| job.started.is_some() && job.deadline + OVERDUE_GRACE_MS <= now;
         let overdue: Vec<JobId> =
-            self.jobs.iter().filter(|(_, job)| late(job)).map(|(id, _)| *id).collect();
+            self.jobs.iter().filter(|(_, job)| is_overdue(job)).map(|(id, _)| *id).collect();
         for id in overdue {
             actions.push(JobAction::Abort(id));
             actions.extend(self.finish(id, UpstreamEnd::Failed(ExchangeError::NoAnswer), now));
         }
         actions.extend(self.tick_probe(now));
-        actions.extend(self.start_waiting(now));
+        actions.extend(self.start_queued(now));
         actions.extend(self.expire_offers(now));
-        actions.extend(self.grant(now));
+        actions.extend(self.grant_transfers(now));
         actions
     }
 
-    /// When `tick` has something to do.
+    /// When `tick` must be called next.
     pub fn next_tick(&self, now: Millis) -> Option<Millis> {
         let running = self.jobs.values().filter(|job| job.started.is_some());
-        let overdue = running.map(|job| job.deadline + OVERTIME_MS).min();
+        let overdue = running.map(|job| job.deadline + OVERDUE_GRACE_MS).min();
         let offers = self.offers.next_expiry(now);
-        let dues = [
+        let due_times = [
             overdue,
             self.admission.next_expiry(),
             self.admission.next_start(now),
             offers,
             self.next_probe_tick(),
         ];
-        dues.into_iter().flatten().min()
+        due_times.into_iter().flatten().min()
     }
 }
 
-/// Whether an end tells against the upstream. A rejection does, too: it is never given more than it
-/// has slots for.
-fn is_upstreams_fault(outcome: HopOutcome, status: u16) -> bool {
+/// Whether an outcome counts as a failure of the upstream. Rejections for overload count as well,
+/// since the upstream is never given more calls than it has slots.
+fn counts_against_upstream(outcome: HopOutcome, status: u16) -> bool {
     match outcome {
         HopOutcome::Answered => status >= FIRST_SERVER_ERROR,
         HopOutcome::Rejected => status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR,
--- a/crates/sidecar/src/jobs/mod.rs
+++ b/crates/sidecar/src/jobs/mod.rs
@@ -1,7 +1,8 @@
-//! The inbound side: the only sender to the upstream beside this sidecar.
+//! The inbound side of the sidecar: the only sender of requests to the local upstream.
 //!
-//! Pure: events come in with the time, actions go out. Only this side knows for certain whether a
-//! call was given to the upstream, so it alone says that one was not.
+//! It performs no I/O: events come in with the current time, actions go out. Only this side knows
+//! for certain whether a call was handed to the upstream, so only it may state that a call was not
+//! run.
 
 mod arrival;
 mod at_work;
@@ -10,10 +11,10 @@
 mod offers;
 mod trial;
 
-use self::at_work::AtWork;
-use self::crash::CrashWatch;
+use self::at_work::ActiveRuns;
+use self::crash::CrashDetector;
 use self::offers::Offers;
-use self::trial::Trial;
+use self::trial::CanaryTrial;
 use crate::call_metrics::JobMetrics;
 use crate::calls::Attempt;
 use crate::dialect::{HeaderNames, ReportedLoad};
@@ -36,89 +37,92 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Slots of an upstream that did not tell any.
-const UNKNOWN_SLOTS: u32 = 4;
-/// Part of the slots that is used: some upstreams slow down or reset when they are full.
-const USED_PART_OF_SLOTS: f64 = 1.0;
+/// Slots assumed for an upstream that has not reported any.
+const DEFAULT_SLOTS: u32 = 4;
+/// Fraction of the slots that is used; some upstreams slow down or reset connections when all slots
+/// are in use.
+const USABLE_SLOT_FRACTION: f64 = 1.0;
 const REFUSED_STATUS: u16 = 503;
-/// The node of an inbound side that was not told which it is.
-const NOBODY: NodeAddress = NodeAddress { ip: std::net::Ipv4Addr::UNSPECIFIED, port: 0 };
-/// Of an upstream that is not the incarnation that a call is meant for; it has not run the call.
+/// Placeholder node address, used until `with_poison_watch` provides the real one.
+const UNKNOWN_NODE: NodeAddress = NodeAddress { ip: std::net::Ipv4Addr::UNSPECIFIED, port: 0 };
+/// Status with which an upstream rejects a call that is meant for another incarnation; the call has
+/// not run.
 const WRONG_INSTANCE_STATUS: u16 = 421;
-/// Who waits for a job.
+/// Who is waiting for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// A call of a caller on this machine.
+    /// A caller on this machine.
     Local(Attempt),
     /// A peer.
     Peer {
-        /// Its connection.
+        /// Connection of the peer.
         connection: ConnectionId,
-        /// Place on it.
+        /// Position of the request on the connection.
         slot: Slot,
     },
 }
 
-/// How a try at the upstream ended.
+/// How an attempt at the upstream ended.
 #[derive(Debug)]
 pub enum UpstreamEnd {
-    /// The request was not sent whole, so it cannot have run.
+    /// The request was not sent completely, so it cannot have run.
     NotSent,
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered(Answer),
-    /// It was sent, and no proper answer came.
+    /// The request was sent, and no valid answer was received.
     Failed(ExchangeError),
 }
 
-/// What the runtime must do.
+/// An action for the runtime to perform.
 #[derive(Debug)]
 pub enum JobAction {
     /// Send a request to the upstream.
     Run {
-        /// Which job.
+        /// The job.
         job: JobId,
-        /// The request as the upstream gets it.
+        /// The request as it is sent to the upstream.
         request: Request,
     },
-    /// Stop what the upstream does for a job.
+    /// Abort a job at the upstream.
     Abort(JobId),
-    /// Try whether the upstream still takes connections.
+    /// Check whether the upstream still accepts connections.
     Probe {
-        /// Whether one that was just taken, and has not ended since, will do.
+        /// Whether an idle connection that has not ended since counts as a success.
         again: bool,
     },
-    /// Let a peer send more of the body that it offered.
+    /// Allow a peer to send more of the body that it offered.
     Grant {
         /// Who offered it.
         source: Source,
-        /// How many bytes more.
+        /// Number of additional bytes.
         bytes: u64,
     },
-    /// Tell what became of a job.
+    /// Report the outcome of a job.
     Reply {
-        /// Who waits for it.
+        /// Who is waiting for it.
         source: Source,
-        /// What became of it.
+        /// The outcome.
         reply: HopReply,
-        /// The answer, empty unless it is the upstream's own.
+        /// The response, empty unless it came from the upstream.
         response: Response,
     },
 }
 
-/// Why a call is not given to the upstream.
+/// The refusal of a call that is not given to the upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct Refusal<'a> {
     /// Id of the call.
     id: &'a str,
     reason: &'a str,
-    /// How long it was held before, milliseconds.
+    /// How long the call was held before the refusal, in milliseconds.
     held_ms: u64,
     retry_after_ms: u64,
-    /// How much longer the call is kept from all upstreams; 0 if it is not.
+    /// Remaining quarantine of the request at all upstreams, in milliseconds; 0 if it is not
+    /// quarantined.
     quarantine_left_ms: u64,
-    /// Ends of upstreams that this rests on.
+    /// The crashes that the quarantine is based on.
     quarantine_crashes: [CrashId; 2],
-    /// Whether it is for want of room on the link.
+    /// Whether the call was refused because the link has no room for its answer.
     link_full: bool,
 }
 
@@ -128,21 +132,22 @@
     request: Rc<Request>,
     attempt_id: String,
     class: CallClass,
-    /// Whether an upstream may have ended because of a request like it.
+    /// Whether a similar request may have crashed an upstream.
     suspect: bool,
-    /// Incarnation that it was given to.
+    /// Incarnation that received it.
     given_to: Option<Incarnation>,
     deadline: Millis,
     arrived: Millis,
     started: Option<Millis>,
-    /// What it takes at an upstream of usual pace, as its sender told, milliseconds; 0 if it did not.
+    /// Usual duration at an upstream of normal pace, as reported by the sender, in milliseconds; 0
+    /// if unknown.
     usual_ms: u32,
-    /// Whether another upstream had the call before.
+    /// Whether another upstream received the call before.
     repeat: bool,
 }
 
 impl Job {
-    /// What tells the answers of its like apart.
+    /// The kind of answer expected, by which answer sizes are estimated.
     fn egress_kind(&self) -> EgressKind {
         EgressKind { rank: self.class.rank, target_ms: u64::from(self.class.target_ms) }
     }
@@ -152,13 +157,13 @@
     }
 }
 
-/// All calls for the upstream beside this sidecar.
+/// All calls for the local upstream.
 pub struct Jobs {
     names: HeaderNames,
     sample: LogSample,
     metrics: JobMetrics,
     service: String,
-    /// The upstream and whether calls pass.
+    /// The registered upstream and whether calls are let through to it.
     pub gate: DrainGate,
     admission: Admission,
     offers: Offers,
@@ -166,35 +171,35 @@
     link_refusals: u64,
     cold_refusals: u64,
     transits: TransitTimes,
-    trial: Trial,
-    crash: CrashWatch,
+    trial: CanaryTrial,
+    crash: CrashDetector,
     poison: PoisonWatch,
     failures: FailureShare,
-    failures_of: Option<Incarnation>,
+    failures_instance: Option<Incarnation>,
     pace: Pace,
-    /// Most calls that the upstream is given at once.
+    /// Number of slots of the upstream that may be used at once.
     slots_used: u32,
-    taken: TakenSlots,
-    /// Whether the incarnation that was registered last is found not to be there, and nobody was
-    /// told.
+    taken_slots: TakenSlots,
+    /// Whether the most recently registered incarnation turned out to be absent and this has not
+    /// been reported yet.
     instance_changed: bool,
-    /// Whether the zone is evacuated: nothing is given to the upstream.
+    /// Whether the zone is evacuated, so that the upstream gets no calls.
     evacuated: bool,
-    /// Part of this machine's link that is in use, percent.
+    /// Utilization of this machine's link, in percent.
     pub link_percent: u32,
     jobs: BTreeMap<JobId, Job>,
     by_source: BTreeMap<Source, JobId>,
-    /// Ids of the calls that the upstream works on.
-    at_work: BTreeMap<String, AtWork>,
-    /// Until when no second tries are taken in, since what their runs ask for is beyond the bound on
-    /// repeats.
+    /// Running jobs by call id.
+    active_runs: BTreeMap<String, ActiveRuns>,
+    /// Until when hedged attempts are refused, because the calls made by their jobs exceed the
+    /// retry budget.
     pub hedges_barred_until: Millis,
     next_job: JobId,
     closed: bool,
 }
 
 impl Jobs {
-    /// The inbound side of a sidecar whose upstream belongs to `service`.
+    /// Creates the inbound side of a sidecar whose upstream belongs to `service`.
     pub fn new(
         names: HeaderNames,
         service: &str,
@@ -209,60 +214,60 @@
             metrics,
             service: service.to_owned(),
             gate: DrainGate::new(drain_ms),
-            admission: Admission::new(UNKNOWN_SLOTS),
+            admission: Admission::new(DEFAULT_SLOTS),
             offers: Offers::new(link_bytes_per_ms),
             egress: EgressBook::default(),
             link_refusals: 0,
             cold_refusals: 0,
             transits: TransitTimes::default(),
-            trial: Trial::default(),
-            crash: CrashWatch::default(),
-            poison: PoisonWatch::new(NOBODY),
+            trial: CanaryTrial::default(),
+            crash: CrashDetector::default(),
+            poison: PoisonWatch::new(UNKNOWN_NODE),
             failures: FailureShare::default(),
-            failures_of: None,
+            failures_instance: None,
             pace: Pace::default(),
-            slots_used: UNKNOWN_SLOTS,
-            taken: TakenSlots::default(),
+            slots_used: DEFAULT_SLOTS,
+            taken_slots: TakenSlots::default(),
             instance_changed: false,
             evacuated: false,
             link_percent: 0,
             jobs: BTreeMap::new(),
             by_source: BTreeMap::new(),
-            at_work: BTreeMap::new(),
+            active_runs: BTreeMap::new(),
             hedges_barred_until: 0,
             next_job: 1,
             closed: false,
         }
     }
 
-    /// The same with what the outbound side knows of requests that may crash upstreams.
+    /// Shares the outbound side's knowledge of requests that may crash upstreams.
     pub fn with_poison_watch(self, poison: PoisonWatch) -> Self {
         Jobs { poison, ..self }
     }
 
-    /// Jobs without an end, bodies on their way included.
+    /// Number of unfinished jobs, including offers whose body has not arrived.
     pub fn in_flight(&self) -> usize {
         self.jobs.len() + self.offers.len()
     }
 
-    /// Whether a call was given to the upstream, and has no end yet.
+    /// Whether a call was handed to the upstream and has not ended yet.
     pub fn has_started(&self, source: Source) -> bool {
         let job = self.by_source.get(&source).and_then(|id| self.jobs.get(id));
         job.is_some_and(|job| job.started.is_some())
     }
 
-    /// Share of recent calls that the upstream failed, percent.
+    /// Share of recent calls that the upstream failed, in percent.
     pub fn failing_percent(&self, now: Millis) -> u32 {
         self.failures.percent(now)
     }
 
-    /// Calls the upstream works on, and calls that wait.
+    /// Number of calls that run at the upstream, and of calls in the queue.
     pub fn load(&self) -> (u32, u32) {
         (self.admission.running(), self.admission.queued())
     }
 
-    /// What others are told of that.
-    pub fn told_load(&self, now: Millis) -> UpstreamLoad {
+    /// The load report for other nodes.
+    pub fn load_report(&self, now: Millis) -> UpstreamLoad {
         let (running, queued) = self.load();
         UpstreamLoad::new(running, queued, self.admission.service_ms() as u32)
             .with_link(self.link_percent)
@@ -270,24 +275,25 @@
             .with_pace(self.pace.percent(now))
     }
 
-    /// Takes in the room of this machine's outgoing link.
+    /// Sets the available capacity of this machine's outgoing link.
     pub fn set_link_room(&mut self, room: LinkRoom) {
         self.egress.set_room(room);
     }
 
-    /// Takes in what the upstream told of its load with an answer.
-    pub fn note_told(&mut self, told: ReportedLoad, now: Millis) {
-        if let Some(percent) = told.pace_percent {
+    /// Handles a load report that the upstream sent with an answer.
+    pub fn note_load_report(&mut self, report: ReportedLoad, now: Millis) {
+        if let Some(percent) = report.pace_percent {
             self.pace.note_figure(percent, now);
         }
-        let all = told.running.saturating_add(told.waiting);
-        self.taken.note(all, self.admission.running(), now);
-        self.mind_taken(now);
+        let all = report.running.saturating_add(report.waiting);
+        self.taken_slots.note(all, self.admission.running(), now);
+        self.update_limit(now);
     }
 
-    /// Gives the upstream no more than it has slots for beside what it works on unknown to this side.
-    fn mind_taken(&mut self, now: Millis) {
-        let limit = self.taken.left_of(self.slots_used, now);
+    /// Limits running jobs to the slots that remain beside work at the upstream that this side does
+    /// not know of, such as aborted jobs.
+    fn update_limit(&mut self, now: Millis) {
+        let limit = self.taken_slots.left_of(self.slots_used, now);
         if limit != self.admission.limit() {
             info!(
                 limit,
@@ -299,15 +305,14 @@
         }
     }
 
-    /// Takes in which versions of this service may be given calls; `None` if nothing sets them
-    /// apart.
+    /// Sets which versions of this service may receive calls; `None` if there are no restrictions.
     pub fn set_policy(&mut self, policy: Option<VersionPolicy>) {
         self.trial.set_policy(policy);
     }
 
-    /// Takes in whether the zone of this sidecar is evacuated; calls that wait then are refused. A
-    /// zone that is restored has upstreams that may have become cold meanwhile, and told nobody yet:
-    /// until they tell, they are taken for cold.
+    /// Sets whether the zone of this sidecar is evacuated; queued calls are then refused. When a
+    /// zone is restored, its upstream may have become cold without having reported it, so it is
+    /// assumed to be cold until its next report.
     pub fn set_evacuated(&mut self, evacuated: bool, now: Millis) -> Vec<JobAction> {
         let restored = self.evacuated && !evacuated;
         self.evacuated = evacuated;
@@ -315,16 +320,16 @@
             self.gate.presume_cold(now + PRESUMED_COLD_MS);
             self.refresh_cold();
         }
-        self.start_waiting(now)
+        self.start_queued(now)
     }
 
-    /// What coordinators should be told of a canary now.
+    /// The canary evidence to send to the coordinators now, if any is due.
     pub fn evidence_due(&mut self, now: Millis) -> Option<VersionEvidence> {
         let version = self.gate.version()?;
-        self.trial.due(&self.service, version, now)
+        self.trial.due_report(&self.service, version, now)
     }
 
-    /// Takes in what an answer says of the incarnation that the call was given to.
+    /// Updates the knowledge of the upstream's incarnation from the outcome of a call given to it.
     fn note_instance(&mut self, given_to: Option<&Incarnation>, outcome: HopOutcome, status: u16) {
         let Some(Incarnation { id, .. }) = given_to else {
             return;
@@ -339,32 +344,32 @@
         }
     }
 
-    /// Whether others must be told which incarnation is there, since it is not the one that was
-    /// registered last; once.
+    /// Whether a change of the present incarnation must be reported, because it differs from the
+    /// most recently registered one. Resets the flag.
     pub fn take_instance_changed(&mut self) -> bool {
         std::mem::take(&mut self.instance_changed)
     }
 
-    /// Takes in what cold upstreams of this service bear.
+    /// Sets the call rate that cold upstreams of this service can handle.
     pub fn set_cold_rate(&mut self, rate: Option<ColdRate>, now: Millis) {
         self.admission.set_cold_rate(rate, now);
     }
 
-    /// Takes over for how long the upstream is cold.
+    /// Updates how long the upstream remains cold.
     pub fn refresh_cold(&mut self) {
         self.admission.set_cold_until(self.gate.cold_until());
     }
 
-    /// Takes over what the upstream told of its slots, and for how long it is cold.
+    /// Updates the slots of the upstream and how long it remains cold.
     pub fn refresh_limit(&mut self, now: Millis) {
-        let slots = self.gate.slots().unwrap_or(UNKNOWN_SLOTS).max(1);
-        let used = (f64::from(slots) * USED_PART_OF_SLOTS).floor() as u32;
+        let slots = self.gate.slots().unwrap_or(DEFAULT_SLOTS).max(1);
+        let used = (f64::from(slots) * USABLE_SLOT_FRACTION).floor() as u32;
         self.slots_used = used.max(1);
         self.admission.set_limit(self.slots_used);
         self.crash.note_registered(self.gate.incarnation());
         self.refresh_cold();
-        if self.failures_of.as_ref() != self.gate.incarnation() {
-            self.failures_of = self.gate.incarnation().cloned();
+        if self.failures_instance.as_ref() != self.gate.incarnation() {
+            self.failures_instance = self.gate.incarnation().cloned();
             self.admission.restarted(now);
             self.failures.clear();
             self.pace = Pace::default();
@@ -421,37 +426,38 @@
         JobAction::Reply { source, reply, response: Response::empty(REFUSED_STATUS) }
     }
 
-    /// Calls refused so far since the upstream was cold.
+    /// Number of calls refused so far because the upstream was cold.
     pub fn cold_refusals(&self) -> u64 {
         self.cold_refusals
     }
 
-    /// How long a large answer would wait for the link, milliseconds.
+    /// How long a large answer would wait for the link, in milliseconds.
     pub fn link_wait_ms(&self) -> u64 {
         self.egress.wait_ms()
     }
 
-    /// Calls refused so far since their answers would have waited too long for the link.
+    /// Number of calls refused so far because their answers would have waited too long for the
+    /// link.
     pub fn link_refusals(&self) -> u64 {
         self.link_refusals
     }
 
-    /// Takes in no more calls, because the process stops; those that wait are refused.
+    /// Stops accepting calls because the process is stopping, and refuses the queued ones.
     pub fn close(&mut self, now: Millis) -> Vec<JobAction> {
         self.closed = true;
         let waiting = self.admission.clear();
         let mut actions: Vec<JobAction> =
-            waiting.into_iter().filter_map(|id| self.refuse_waiting(id, "stopping", now)).collect();
+            waiting.into_iter().filter_map(|id| self.refuse_queued(id, "stopping", now)).collect();
         actions.extend(self.refuse_offers("stopping", now));
         actions
     }
 
-    /// Gives a job, which holds a slot, to the upstream.
+    /// Hands a job, which occupies a slot, to the upstream.
     fn start(&mut self, id: JobId, now: Millis) -> Option<JobAction> {
         let instance = self.gate.incarnation().cloned();
         let job = self.jobs.get_mut(&id)?;
         if job.started.is_none() {
-            self.at_work.entry(job.attempt_id.clone()).or_default().note_start(job.repeat);
+            self.active_runs.entry(job.attempt_id.clone()).or_default().note_start(job.repeat);
         }
         job.started = Some(now);
         job.given_to = instance.clone();
@@ -459,7 +465,7 @@
         let mut request = (*job.request).clone();
         request.headers.remove(HOP_HEADER);
         request.headers.remove(self.names.api_key);
-        // What it asks for was answered between the two sidecars.
+        // The expectation was already met between the two sidecars.
         request.headers.remove("expect");
         request.headers.set(self.names.deadline_ms, left.to_string());
         if let Some(instance) = instance {
@@ -485,7 +491,7 @@
         self.egress.end(id);
         self.by_source.remove(&job.source);
         if job.started.is_some() {
-            self.forget_work(&job.attempt_id);
+            self.release_run(&job.attempt_id);
         }
         Some(job)
     }
--- a/crates/sidecar/src/jobs/offers.rs
+++ b/crates/sidecar/src/jobs/offers.rs
@@ -1,9 +1,9 @@
-//! Bodies that peers offer: when they may come over this machine's link.
+//! Request bodies offered by peers: when they may be sent over this machine's link.
 //!
-//! Nothing of an offer has reached the upstream, so each of them can be refused with certainty, and
-//! one whose sender is gone leaves nothing behind.
+//! Nothing of an offered call has reached the upstream, so it can be refused with the certainty
+//! that it has not run, and an offer whose sender is gone leaves no state behind.
 
-use super::arrival::Way;
+use super::arrival::TransitDelay;
 use super::{JobAction, Jobs, Refusal, Source};
 use crate::net::ConnectionId;
 use crate::Millis;
@@ -14,16 +14,16 @@
 use tracing::info;
 
 #[derive(Debug)]
-struct Offered {
+struct PendingOffer {
     attempt_id: String,
     transfer: TransferId,
     since: Millis,
 }
 
-/// Offers without an end, by who made them.
+/// All pending offers, by their sender.
 pub(super) struct Offers {
     transfers: Transfers,
-    by_source: BTreeMap<Source, Offered>,
+    by_source: BTreeMap<Source, PendingOffer>,
     sources: BTreeMap<TransferId, Source>,
     next: TransferId,
 }
@@ -54,14 +54,14 @@
         self.transfers.next_expiry(now)
     }
 
-    /// What a connection offers.
-    pub fn of(&self, connection: ConnectionId) -> Option<Source> {
+    /// The pending offer of a connection.
+    pub fn of_connection(&self, connection: ConnectionId) -> Option<Source> {
         let first = Source::Peer { connection, slot: 0 };
         let last = Source::Peer { connection, slot: Slot::MAX };
         self.by_source.range(first..=last).map(|(source, _)| *source).next()
     }
 
-    /// Forgets an offer; returns how long ago it was made, milliseconds.
+    /// Removes an offer; returns how long ago it was made, in milliseconds.
     pub fn end(&mut self, source: Source, now: Millis) -> Option<u64> {
         let offered = self.by_source.remove(&source)?;
         self.sources.remove(&offered.transfer);
@@ -71,8 +71,8 @@
 }
 
 impl Jobs {
-    /// Takes in the offer of a call with a body of so many bytes; the call follows with
-    /// [`Jobs::begin`] once its body is here.
+    /// Handles the offer of a call with a body of `bytes` bytes. [`Jobs::begin`] follows once the
+    /// body has arrived.
     pub fn offer(
         &mut self,
         source: Source,
@@ -84,42 +84,42 @@
         if self.offers.by_source.contains_key(&source) {
             return Vec::new();
         }
-        if let Some((reason, retry_after_ms)) = self.why_not(hop, bytes, now) {
+        if let Some((reason, retry_after_ms)) = self.refusal_reason(hop, bytes, now) {
             let refusal = Refusal { id: attempt_id, reason, retry_after_ms, ..Refusal::default() };
             return vec![self.refuse(source, refusal, now)];
         }
         let transfer = self.offers.next;
         self.offers.next += 1;
         let attempt_id = attempt_id.to_owned();
-        self.offers.by_source.insert(source, Offered { attempt_id, transfer, since: now });
+        self.offers.by_source.insert(source, PendingOffer { attempt_id, transfer, since: now });
         self.offers.sources.insert(transfer, source);
-        self.grant(now)
+        self.grant_transfers(now)
     }
 
-    /// Refuses an offer that does not say how long its body is: it would hold up who made it for as long as a
-    /// body may take to come.
+    /// Refuses an offer of unknown length: its sender would be held up for as long as the longest
+    /// body may take.
     pub fn refuse_unsized(&self, source: Source, attempt_id: &str, now: Millis) -> JobAction {
         let refusal = Refusal { id: attempt_id, reason: "length_unknown", ..Refusal::default() };
         self.refuse(source, refusal, now)
     }
 
-    /// Why an offer is refused, and when to come back, milliseconds; one that is not waits for its
-    /// grants from now on.
-    fn why_not(
+    /// The reason to refuse an offer and the time after which it may be retried, in milliseconds.
+    /// An offer that is not refused is queued for grants.
+    fn refusal_reason(
         &mut self,
         hop: &HopRequest,
         bytes: u64,
         now: Millis,
     ) -> Option<(&'static str, u64)> {
         let waited_ms = self.since_departure_ms(hop, now);
-        let way = Way { waited_ms, offered_ms: 0 };
-        if let Some(reason) = self.mismatch(hop, now).or(way.too_late(hop)) {
+        let delay = TransitDelay { waited_ms, offered_ms: 0 };
+        if let Some(reason) = self.ineligible_reason(hop, now).or(delay.late_reason(hop)) {
             return Some((reason, waited_ms));
         }
         let HopRequest { begun, rank, target_ms, .. } = *hop;
         let patience_ms = hop.patience_ms.saturating_sub(waited_ms);
         let deadline = now + hop.deadline_ms.saturating_sub(waited_ms);
-        // Whose it is comes with its head, once it is here.
+        // The tenant is read from the complete request later.
         let tenant = None;
         let ticket = Ticket { job: 0, begun, rank, tenant, target_ms, patience_ms, deadline };
         if let Err(retry_after_ms) = self.admission.check_room(ticket, now) {
@@ -130,23 +130,23 @@
         taken.err().map(|retry_after_ms| ("link_busy", retry_after_ms))
     }
 
-    /// Notes how much of the body that a connection offered is here.
+    /// Records how many bytes of an offered body have arrived on a connection.
     pub fn body_arrived(
         &mut self,
         connection: ConnectionId,
         bytes: u64,
         now: Millis,
     ) -> Vec<JobAction> {
-        let source = self.offers.of(connection);
+        let source = self.offers.of_connection(connection);
         let Some(offered) = source.and_then(|source| self.offers.by_source.get(&source)) else {
             return Vec::new();
         };
         self.offers.transfers.arrived(offered.transfer, bytes, now);
-        self.grant(now)
+        self.grant_transfers(now)
     }
 
-    /// Lets bodies come for which the link has room.
-    pub(super) fn grant(&mut self, now: Millis) -> Vec<JobAction> {
+    /// Grants offered bodies as far as the link has room.
+    pub(super) fn grant_transfers(&mut self, now: Millis) -> Vec<JobAction> {
         let grants = self.offers.transfers.grant(now);
         let action = |Grant { id, bytes }: Grant| {
             let source = *self.offers.sources.get(&id)?;
@@ -155,13 +155,13 @@
         grants.into_iter().filter_map(action).collect()
     }
 
-    /// Refuses the offers that waited too long.
+    /// Refuses offers that waited too long.
     pub(super) fn expire_offers(&mut self, now: Millis) -> Vec<JobAction> {
         let expired = self.offers.transfers.expire(now);
         self.refuse_transfers(expired, "link_busy", now)
     }
 
-    /// Refuses all offers of which nothing was granted.
+    /// Refuses all offers that received no grant yet.
     pub(super) fn refuse_offers(&mut self, reason: &str, now: Millis) -> Vec<JobAction> {
         let waiting = self.offers.transfers.clear_waiting();
         self.refuse_transfers(waiting, reason, now)
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,8 +1,8 @@
-//! A sidecar: the proxy beside one upstream, with the callers of its machine on one side and its
-//! peers on the other.
+//! The sidecar: a proxy that runs beside one upstream and connects it and the callers on its
+//! machine to the sidecars of other machines (peers).
 //!
-//! One thread and one poll; everything that decides is pure and lives in [`Calls`] (outbound),
-//! [`Jobs`] (inbound), and the crates `placement`, `admission` and `http1`.
+//! It runs on one thread with one poll loop. All decisions are made by code without I/O: [`Calls`]
+//! (outbound), [`Jobs`] (inbound), and the crates `placement`, `admission` and `http1`.
 #![forbid(unsafe_code)]
 
 mod call_metrics;
@@ -32,7 +32,7 @@
 pub use currency::ConfigFreshness;
 pub use dialect::{HeaderNames, RegistrationCall, RegistrationDialect, ReportedLoad};
 pub use jobs::{JobAction, Jobs, Source, UpstreamEnd};
-pub use link_meter::{LinkChange, LinkMeter, LinkWatch};
+pub use link_meter::{LinkChange, LinkFullDetector, LinkMeter};
 pub use links::{chosen as chosen_coordinators, LinkEvent, Links};
 pub use net::{ConnectionId, LinkUse, Net, NetEvent, SentBytes};
 pub use poison::PoisonWatch;
--- a/crates/sidecar/src/links/choice.rs
+++ b/crates/sidecar/src/links/choice.rs
@@ -1,9 +1,9 @@
-//! Which coordinators a sidecar links to.
+//! Selects the coordinators that a sidecar links to.
 //!
-//! In a small group it links to all. In a larger one to a few, drawn by rendezvous hashing of its own
-//! address and theirs: each coordinator has about as many links as the others, a member that joins or
-//! leaves moves only the links that become its own or were, and a sidecar that starts again finds the
-//! coordinators that knew it.
+//! In a small group a sidecar links to all coordinators. In a larger group it links to a few,
+//! selected by rendezvous hashing of its own address and theirs: the links are spread evenly over
+//! the coordinators, a joining or leaving member moves only links to itself, and a restarted
+//! sidecar finds the coordinators that knew it before.
 
 use mesh::{MemberPlace, NodeAddress};
 use siphasher::sip::SipHasher13;
@@ -11,35 +11,36 @@
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 
-/// Members up to which all are linked: each then hears every sidecar itself, and a link costs a ping a
-/// second.
-pub(super) const MOST_LINKED_ALL: usize = 8;
-/// Links within the own zone: what is long comes from there, and one may be lost.
-const NEAR_LINKS: usize = 2;
-/// Links to other zones, one a zone: with the near ones, any two coordinators or a zone may be lost, and
-/// an end is still acknowledged by two.
-const FAR_LINKS: usize = 2;
-/// One key for all nodes; it is no secret.
-const KEY: (u64, u64) = (0x6c69_6e6b_2063_686f, 0x6963_6520_6279_7465);
+/// Up to this group size a sidecar links to all coordinators: each of them then hears every sidecar
+/// directly, and a link costs only one ping per second.
+pub(super) const MAX_LINKED_ALL: usize = 8;
+/// Links within the own zone: large messages come over them, and one of them may be lost.
+const OWN_ZONE_LINKS: usize = 2;
+/// Links to other zones, each to a different one. Together with the links in the own zone, any two
+/// coordinators or a whole zone may be lost, and the end of an upstream is still acknowledged by
+/// two coordinators.
+const OTHER_ZONE_LINKS: usize = 2;
+/// Hash key shared by all nodes; it is not secret.
+const HASH_KEY: (u64, u64) = (0x6c69_6e6b_2063_686f, 0x6963_6520_6279_7465);
 
-/// How high a coordinator ranks for a sidecar.
+/// The rank of a coordinator for a sidecar; higher is better.
 pub(super) fn rank(own: &NodeAddress, member: Ipv4Addr) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(KEY.0, KEY.1);
+    let mut hasher = SipHasher13::new_with_keys(HASH_KEY.0, HASH_KEY.1);
     hasher.write_u32(own.ip.to_bits());
     hasher.write_u16(own.port);
     hasher.write_u32(member.to_bits());
     hasher.finish()
 }
 
-/// The coordinators to be linked, those of the own zone first. One that cannot be reached (`is_down`)
-/// stays among them, to be tried again, and the next in rank takes its place beside it.
+/// Selects the coordinators to link to, those of the own zone first. An unreachable one (`is_down`)
+/// remains selected so that it is tried again, and the next one in rank is added in its place.
 pub fn chosen(
     own: &NodeAddress,
     zone: &str,
     members: &[MemberPlace],
     is_down: impl Fn(Ipv4Addr) -> bool,
 ) -> Vec<Ipv4Addr> {
-    if members.len() <= MOST_LINKED_ALL {
+    if members.len() <= MAX_LINKED_ALL {
         return members.iter().map(|member| member.address).collect();
     }
     let mut ranked: Vec<&MemberPlace> = members.iter().collect();
@@ -48,16 +49,16 @@
     let (near, far): (Vec<&MemberPlace>, Vec<&MemberPlace>) =
         ranked.into_iter().partition(|member| !zone.is_empty() && member.zone == zone);
     let mut found = Vec::new();
-    let near_links = take(&near, NEAR_LINKS, false, &is_down, &mut found);
-    // A zone with fewer coordinators is made up for by others.
-    let missing = NEAR_LINKS - near_links;
-    take(&far, FAR_LINKS + missing, true, &is_down, &mut found);
+    let near_links = select(&near, OWN_ZONE_LINKS, false, &is_down, &mut found);
+    // Other zones make up for missing coordinators in the own zone.
+    let missing = OWN_ZONE_LINKS - near_links;
+    select(&far, OTHER_ZONE_LINKS + missing, true, &is_down, &mut found);
     found
 }
 
-/// Takes so many that can be reached, in order of rank, of different zones first if asked to, and at
-/// most as many that cannot; returns how many can.
-fn take(
+/// Selects up to `wanted` reachable members in order of rank, and at most as many unreachable ones.
+/// With `spread`, members of different zones come first. Returns the number of reachable ones.
+fn select(
     ranked: &[&MemberPlace],
     wanted: usize,
     spread: bool,
@@ -67,7 +68,8 @@
     let mut zones = BTreeSet::new();
     let (mut first, mut second) = (Vec::new(), Vec::new());
     for member in ranked {
-        // Where zones are not known, or fewer than links, those passed over come next.
+        // If zones are unknown or fewer than the links wanted, the members skipped here are used
+        // next.
         match !spread || zones.insert(member.zone.as_str()) {
             true => first.push(*member),
             false => second.push(*member),
--- a/crates/sidecar/src/links/credits.rs
+++ b/crates/sidecar/src/links/credits.rs
@@ -1,4 +1,4 @@
-//! Which coordinator is asked for credits of tenants' quotas.
+//! Requests credits for tenants' quotas from a coordinator.
 
 use super::{send, Links};
 use crate::net::Net;
@@ -8,12 +8,12 @@
 use std::net::Ipv4Addr;
 
 impl Links {
-    /// Asks for credits, if any are wanted: the coordinator of the own zone, or the next one while
-    /// that does not answer.
+    /// Requests credits if any are wanted, from the coordinator of the own zone, or from the next
+    /// one while that one does not answer.
     pub fn ask_credits<T>(&mut self, net: &mut Net, gate: &mut Gate<T>, now: Millis) {
-        let asked = self.credits_asked.and_then(|asked| self.links.get(&asked));
-        if self.credits_asked.is_some() && !asked.is_some_and(|link| link.welcomed) {
-            self.credits_asked = None;
+        let asked = self.credits_request.and_then(|asked| self.links.get(&asked));
+        if self.credits_request.is_some() && !asked.is_some_and(|link| link.welcomed) {
+            self.credits_request = None;
             gate.link_lost();
         }
         let mut healthy: Vec<Ipv4Addr> = self.healthy(now).collect();
@@ -24,7 +24,7 @@
             return;
         };
         if let Some(request) = gate.request(u64::from(u32::from(to)), now) {
-            self.credits_asked = Some(to);
+            self.credits_request = Some(to);
             send(net, &self.links[&to], &ToCoordinator::Credits(request));
         }
     }
--- a/crates/sidecar/src/links/mod.rs
+++ b/crates/sidecar/src/links/mod.rs
@@ -1,8 +1,10 @@
-//! Links to the coordinators: what this sidecar is goes out, configuration and endpoints come in.
+//! Links to the coordinators: reports about this sidecar go out, configuration and endpoints come
+//! in.
 //!
-//! A sidecar keeps a link to several coordinators, so that a cut among them loses nothing. Those are
-//! told what it is, and vouch for it to all others; only one, of its own zone where there is one, tells
-//! it of the other sidecars and is asked for the content of a new generation.
+//! A sidecar keeps links to several coordinators, so that a partition among them loses nothing. All
+//! of them receive its reports and pass them on to the other coordinators. Only one of them, in its
+//! own zone if possible, sends it the list of the other sidecars and the content of new
+//! generations.
 
 mod choice;
 mod content;
@@ -26,56 +28,56 @@
 use tracing::{info, warn};
 
 const PING_INTERVAL_MS: u64 = 1_000;
-/// A coordinator that says nothing for this long is left.
-const SILENCE_LIMIT_MS: u64 = 3_000;
-/// A coordinator that answers no ping for this long does not stay the only one that tells of other
-/// sidecars, milliseconds: one ping and half of the next interval.
-const SUSPECT_LIMIT_MS: u64 = 1_500;
-/// An opening packet to a machine that was dark is gone; it is sent anew after about the longest way
-/// there and back between regions, milliseconds.
-const OPEN_LIMIT_MS: u64 = 150;
-const FIRST_PAUSE_MS: u64 = 50;
-const LONGEST_PAUSE_MS: u64 = 800;
-/// What a lost coordinator said of endpoints counts for this long.
-const STALE_LIMIT_MS: u64 = 15_000;
-/// A coordinator that was tried in vain so often gets another one beside it: with growing pauses, after
-/// about half a second.
-const FAILURES_BORNE: u32 = 3;
+/// A link is closed when the coordinator has sent nothing for this long, in milliseconds.
+const SILENCE_TIMEOUT_MS: u64 = 3_000;
+/// A coordinator that has sent nothing for this long, in milliseconds, is no longer relied on as
+/// the only source of the list of sidecars: one ping interval and half of the next.
+const UNHEALTHY_AFTER_MS: u64 = 1_500;
+/// Time after which a connection attempt is repeated, in milliseconds, because the SYN to an
+/// unreachable machine is lost: about the longest round trip between regions.
+const CONNECT_TIMEOUT_MS: u64 = 150;
+const INITIAL_RETRY_MS: u64 = 50;
+const MAX_RETRY_MS: u64 = 800;
+/// How long the endpoints listed by a lost coordinator remain valid, in milliseconds.
+const STALE_NODES_TTL_MS: u64 = 15_000;
+/// After this many failed attempts another coordinator is linked in addition; with growing retry
+/// delays this takes about half a second.
+const MAX_FAILURES: u32 = 3;
 
-/// What the links bring.
+/// An event from a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A coordinator answered for the first time; what it knows of an earlier life.
+    /// A coordinator accepted the link; contains what it knows of an earlier run of this sidecar.
     Welcome(Option<NodeRecord>),
     /// A new configuration.
     Config {
-        /// Its generation.
+        /// The generation.
         generation: u64,
-        /// Whether the coordinator that sent it hears of a leader.
+        /// Whether the coordinator that sent it is in contact with a leader.
         confirmed: bool,
-        /// Its content.
+        /// The content.
         update: BundleUpdate,
     },
-    /// The newest generation that a coordinator knew of after it was asked.
-    Newest {
+    /// The newest generation known to a coordinator when it was asked.
+    NewestGeneration {
         /// When it was asked.
         asked_at: Millis,
-        /// The generation; 0 if it heard of no leader.
+        /// The generation; 0 if the coordinator had no contact with a leader.
         generation: u64,
     },
-    /// News of a node.
+    /// A node is new or has changed.
     Node(NodeRecord),
-    /// How busy upstreams are, as their sidecars told a moment ago.
+    /// Recent load reports of upstreams, sent by their sidecars.
     Loads(Vec<NodeLoad>),
-    /// What others know of requests that may crash upstreams.
+    /// Notices from other nodes about requests that may crash upstreams.
     Poison(Vec<PoisonNotice>),
-    /// Credits of tenants' quotas.
+    /// Credits for tenants' quotas.
     Credits(CreditAnswer),
-    /// Nodes may have gone; see [`Links::is_listed`].
-    Gone,
-    /// Which versions of upstreams may be given calls, newer than what was told before.
+    /// Nodes may have left; see [`Links::is_listed`].
+    NodesGone,
+    /// Which versions of upstreams may receive calls; newer than the previous policies.
     Versions(Vec<VersionPolicy>),
-    /// The evacuated zones, newer than what was told before.
+    /// The evacuated zones; newer than the previous list.
     Evacuations(Vec<String>),
 }
 
@@ -85,29 +87,29 @@
     open: bool,
     welcomed: bool,
     since: Millis,
-    heard_at: Millis,
+    received_at: Millis,
     pinged_at: Option<Millis>,
     retry_at: Millis,
     failures: u32,
-    taken: u64,
+    acked_sequence: u64,
     announced: u64,
-    /// Whether it is in the zone of this sidecar.
+    /// Whether the coordinator is in the zone of this sidecar.
     same_zone: bool,
-    /// Whether it was asked to tell of other sidecars.
+    /// Whether the list of sidecars was subscribed to on this link.
     subscribed: bool,
-    /// Whether it told all of them since.
-    whole: bool,
+    /// Whether the complete list was received since then.
+    list_complete: bool,
     nodes: BTreeSet<NodeAddress>,
     lost_at: Option<Millis>,
 }
 
 impl Link {
     fn is_healthy(&self, now: Millis) -> bool {
-        self.open && self.welcomed && now < self.heard_at + SUSPECT_LIMIT_MS
+        self.open && self.welcomed && now < self.received_at + UNHEALTHY_AFTER_MS
     }
 }
 
-/// All links.
+/// The links to all coordinators.
 pub struct Links {
     fleet: String,
     port: u16,
@@ -116,25 +118,25 @@
     links: BTreeMap<Ipv4Addr, Link>,
     record: NodeRecord,
     random: fastrand::Rng,
-    config_asked: Option<(Ipv4Addr, Millis)>,
-    /// Which coordinator was asked for credits last.
-    credits_asked: Option<Ipv4Addr>,
+    config_request: Option<(Ipv4Addr, Millis)>,
+    /// The coordinator that credits were last requested from.
+    credits_request: Option<Ipv4Addr>,
     welcomed: bool,
-    /// When a coordinator was linked though none was before.
+    /// When the first coordinator was linked after a time without any.
     linked_at: Millis,
-    /// The newest generation that was announced, and when it first was.
-    newest: u64,
+    /// The newest generation announced so far, and when it was first announced.
+    newest_announced: u64,
     announced_at: Millis,
-    load_told: Option<UpstreamLoad>,
-    load_told_at: Millis,
-    /// Revision of the versions told last; older ones are passed over.
+    sent_load: Option<UpstreamLoad>,
+    load_sent_at: Millis,
+    /// Revision of the version policies applied last; older ones are ignored.
     versions_revision: u64,
-    /// The same of evacuated zones.
+    /// Revision of the evacuated zones applied last; older ones are ignored.
     evacuations_revision: u64,
 }
 
 impl Links {
-    /// No links yet; `record` is what this sidecar is.
+    /// Creates the state without any links; `record` describes this sidecar.
     pub fn new(
         fleet: &str,
         port: u16,
@@ -150,49 +152,49 @@
             links: BTreeMap::new(),
             record,
             random: fastrand::Rng::with_seed(seed),
-            config_asked: None,
-            credits_asked: None,
+            config_request: None,
+            credits_request: None,
             welcomed: false,
             linked_at: 0,
-            newest: 0,
+            newest_announced: 0,
             announced_at: 0,
-            load_told: None,
-            load_told_at: 0,
+            sent_load: None,
+            load_sent_at: 0,
             versions_revision: 0,
             evacuations_revision: 0,
         }
     }
 
-    /// Whether any coordinator answered since the start.
+    /// Whether any coordinator has accepted a link since the start.
     pub fn is_welcomed(&self) -> bool {
         self.welcomed
     }
 
-    /// Replaces the coordinators that are tried when no member is known or reached.
+    /// Replaces the addresses that are tried while no member is known or reachable.
     pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// Whether a node is listed by a coordinator that may be believed.
+    /// Whether a node is listed by a coordinator whose list is still valid.
     pub fn is_listed(&self, node: &NodeAddress, now: Millis) -> bool {
-        let believed = |link: &&Link| link.lost_at.is_none_or(|at| now < at + STALE_LIMIT_MS);
-        self.links.values().filter(believed).any(|link| link.nodes.contains(node))
+        let is_valid = |link: &&Link| link.lost_at.is_none_or(|at| now < at + STALE_NODES_TTL_MS);
+        self.links.values().filter(is_valid).any(|link| link.nodes.contains(node))
     }
 
-    /// What this sidecar is.
+    /// The record of this sidecar.
     pub fn record(&self) -> &NodeRecord {
         &self.record
     }
 
-    /// The link a connection belongs to.
+    /// Whether a connection belongs to one of the links.
     pub fn holds(&self, id: ConnectionId) -> bool {
         self.links.values().any(|link| link.connection == Some(id))
     }
 
-    /// Takes in an event of one of its connections.
+    /// Handles an event on one of its connections.
     pub fn on_event(&mut self, net: &mut Net, event: &NetEvent, now: Millis) -> Vec<LinkEvent> {
         let id = match event {
-            NetEvent::Opened(id) | NetEvent::NotOpened(id) | NetEvent::Received(id) => *id,
+            NetEvent::Connected(id) | NetEvent::ConnectFailed(id) | NetEvent::Received(id) => *id,
             NetEvent::Ended(id, _) => *id,
             NetEvent::Accepted { .. } => return Vec::new(),
         };
@@ -201,7 +203,7 @@
             return Vec::new();
         };
         match event {
-            NetEvent::Opened(_) => {
+            NetEvent::Connected(_) => {
                 self.opened(net, address, now);
                 Vec::new()
             }
@@ -218,7 +220,7 @@
             return;
         };
         link.open = true;
-        link.heard_at = now;
+        link.received_at = now;
         let greeting = Greeting {
             protocol: PROTOCOL_VERSION,
             fleet: self.fleet.clone(),
@@ -238,7 +240,7 @@
             let Some(link) = self.links.get_mut(&address) else {
                 return events;
             };
-            link.heard_at = now;
+            link.received_at = now;
             let Some(id) = link.connection else {
                 return events;
             };
@@ -248,7 +250,7 @@
             match decode_frame::<ToSidecar>(input) {
                 Ok(Some((message, length))) => {
                     input.advance(length);
-                    self.take(net, address, message, now, &mut events);
+                    self.on_message(net, address, message, now, &mut events);
                 }
                 Ok(None) => {
                     net.trim(id);
@@ -263,7 +265,7 @@
         }
     }
 
-    fn take(
+    fn on_message(
         &mut self,
         net: &mut Net,
         address: Ipv4Addr,
@@ -292,7 +294,9 @@
                 events.push(LinkEvent::Welcome(last));
                 self.subscribe(net, now);
             }
-            ToSidecar::ReportTaken { sequence } => link.taken = link.taken.max(sequence),
+            ToSidecar::ReportTaken { sequence } => {
+                link.acked_sequence = link.acked_sequence.max(sequence)
+            }
             ToSidecar::Members { members } => {
                 let known = members.iter().filter(|member| !member.zone.is_empty()).count();
                 let count = members.len();
@@ -301,21 +305,21 @@
             }
             ToSidecar::Announce { generation } => {
                 link.announced = generation;
-                if generation > self.newest {
-                    self.newest = generation;
+                if generation > self.newest_announced {
+                    self.newest_announced = generation;
                     self.announced_at = now;
                 }
             }
             ToSidecar::Config { generation, confirmed, update } => {
                 if !confirmed {
-                    self.config_asked = None;
+                    self.config_request = None;
                 }
                 events.push(LinkEvent::Config { generation, confirmed, update });
             }
             ToSidecar::Nodes { whole, changed, gone } => {
                 if whole {
                     link.nodes.clear();
-                    link.whole = true;
+                    link.list_complete = true;
                 }
                 for node in &gone {
                     link.nodes.remove(node);
@@ -323,7 +327,7 @@
                 link.nodes.extend(changed.iter().map(|record| record.address));
                 events.extend(changed.into_iter().map(LinkEvent::Node));
                 if whole || !gone.is_empty() {
-                    events.push(LinkEvent::Gone);
+                    events.push(LinkEvent::NodesGone);
                 }
                 if whole {
                     self.subscribe(net, now);
@@ -347,7 +351,7 @@
             ToSidecar::Poison { notices } => events.push(LinkEvent::Poison(notices)),
             ToSidecar::Credits(answer) => events.push(LinkEvent::Credits(answer)),
             ToSidecar::Pong { asked_at, generation } => {
-                events.push(LinkEvent::Newest { asked_at, generation });
+                events.push(LinkEvent::NewestGeneration { asked_at, generation });
             }
         }
     }
@@ -367,24 +371,24 @@
         link.pinged_at = None;
         link.welcomed = false;
         link.subscribed = false;
-        link.whole = false;
-        link.taken = 0;
+        link.list_complete = false;
+        link.acked_sequence = 0;
         link.announced = 0;
-        let longest = (FIRST_PAUSE_MS << link.failures.min(6)).min(LONGEST_PAUSE_MS);
+        let longest = (INITIAL_RETRY_MS << link.failures.min(6)).min(MAX_RETRY_MS);
         link.failures += 1;
-        link.retry_at = now + self.random.u64(FIRST_PAUSE_MS / 2..=longest);
-        if self.config_asked.is_some_and(|(from, _)| from == address) {
-            self.config_asked = None;
+        link.retry_at = now + self.random.u64(INITIAL_RETRY_MS / 2..=longest);
+        if self.config_request.is_some_and(|(from, _)| from == address) {
+            self.config_request = None;
         }
         self.subscribe(net, now);
     }
 
-    /// Opens links that are missing, and leaves coordinators that are silent.
+    /// Opens missing links, and closes links to silent coordinators.
     pub fn tick(&mut self, net: &mut Net, now: Millis) {
         let wanted = self.wanted();
         let silent = |link: &Link| {
-            let limit = if link.open { SILENCE_LIMIT_MS } else { OPEN_LIMIT_MS };
-            let since = if link.open { link.heard_at } else { link.since };
+            let limit = if link.open { SILENCE_TIMEOUT_MS } else { CONNECT_TIMEOUT_MS };
+            let since = if link.open { link.received_at } else { link.since };
             link.connection.is_some() && since + limit <= now
         };
         let found = self.links.iter().filter(|(_, link)| silent(link));
@@ -399,17 +403,19 @@
                 link.since = now;
                 match net.connect(SocketAddr::from((*address, self.port))) {
                     Ok(id) => link.connection = Some(id),
-                    Err(_) => link.retry_at = now + LONGEST_PAUSE_MS,
+                    Err(_) => link.retry_at = now + MAX_RETRY_MS,
                 }
             }
         }
-        // One that tells of other sidecars goes once one of those wanted has told all it lists.
-        let told = |(address, link): (&Ipv4Addr, &Link)| wanted.contains(address) && link.whole;
-        let settled = self.links.iter().any(told);
+        // An unwanted link that provides the list of sidecars is closed once a wanted one has sent
+        // its complete list.
+        let lists_all =
+            |(address, link): (&Ipv4Addr, &Link)| wanted.contains(address) && link.list_complete;
+        let replaced = self.links.iter().any(lists_all);
         let former = |address: &Ipv4Addr, link: &Link| {
             let over = match link.open {
-                true => settled || !link.subscribed,
-                false => link.lost_at.is_none_or(|at| at + STALE_LIMIT_MS <= now),
+                true => replaced || !link.subscribed,
+                false => link.lost_at.is_none_or(|at| at + STALE_NODES_TTL_MS <= now),
             };
             !wanted.contains(address) && over
         };
@@ -429,11 +435,11 @@
         }
     }
 
-    /// The coordinators to be linked, and the seeds while no member is reached.
+    /// The coordinators to link to, plus the seeds while no member is reached.
     fn wanted(&self) -> Vec<Ipv4Addr> {
         let is_down = |member: Ipv4Addr| {
             let link = self.links.get(&member);
-            link.is_some_and(|link| !link.welcomed && link.failures >= FAILURES_BORNE)
+            link.is_some_and(|link| !link.welcomed && link.failures >= MAX_FAILURES)
         };
         let (own, zone) = (&self.record.address, &self.record.zone);
         let mut wanted = choice::chosen(own, zone, &self.members, is_down);
@@ -446,7 +452,7 @@
         wanted
     }
 
-    /// How high a coordinator ranks for this sidecar among those that are as near.
+    /// The rank of a coordinator for this sidecar among equally near ones.
     fn rank(&self, coordinator: Ipv4Addr) -> u64 {
         choice::rank(&self.record.address, coordinator)
     }
--- a/crates/sidecar/src/links/telling.rs
+++ b/crates/sidecar/src/links/telling.rs
@@ -1,21 +1,25 @@
-//! What coordinators are told: what this sidecar is, how busy its upstream is, what a canary showed.
+//! Messages to the coordinators: the record of this sidecar, the load of its upstream, canary
+//! evidence, and notices about crashes.
 
 use super::{send, Links};
 use crate::net::Net;
 use crate::Millis;
 use mesh::{NodeRecord, PoisonNotice, ToCoordinator, UpstreamLoad, VersionEvidence};
 
-/// Time between two tellings of this upstream's load, milliseconds: about as long as a call with a
-/// short target, so that a slot taken or given back is told while that still helps.
+/// Minimum time between two load reports, in milliseconds: about the duration of a call with a
+/// short target, so that the report of an occupied or released slot arrives while it is still
+/// useful.
 const LOAD_INTERVAL_MS: u64 = 150;
-/// Change of the pace that is told at once, percent: it moves the risk of being late by less than
-/// a choice is varied by.
+/// Change of the pace that is reported at once, in percent. A smaller change affects the estimated
+/// risk of being late by less than the random variation in the choice of an upstream.
 const PACE_STEP: u16 = 20;
-/// A load that stays as it is is told again after this time, milliseconds; readers let it age.
+/// An unchanged load is reported again after this time, in milliseconds, because receivers treat
+/// old reports as stale.
 const LOAD_REPEAT_MS: u64 = 800;
 
 impl Links {
-    /// Tells all coordinators what this sidecar is now; returns the sequence of this report.
+    /// Reports the changed record of this sidecar to all coordinators; returns the sequence number
+    /// of the report.
     pub fn report(&mut self, net: &mut Net, change: impl FnOnce(&mut NodeRecord)) -> u64 {
         change(&mut self.record);
         self.record.sequence += 1;
@@ -26,35 +30,35 @@
         self.record.sequence
     }
 
-    /// Tells how busy the upstream beside this sidecar is, if that changed and was not told a moment
-    /// ago. One that stays as it is is told again now and then, so that readers trust it.
-    pub fn tell_load(&mut self, net: &mut Net, load: UpstreamLoad, now: Millis) {
-        let age_ms = now.saturating_sub(self.load_told_at);
+    /// Reports the load of the local upstream if it changed and the last report is not too recent.
+    /// An unchanged load is repeated periodically so that receivers keep trusting it.
+    pub fn send_load(&mut self, net: &mut Net, load: UpstreamLoad, now: Millis) {
+        let age_ms = now.saturating_sub(self.load_sent_at);
         let counts =
             |load: UpstreamLoad| (load.running, load.queued, load.pace_percent / PACE_STEP);
-        let changed = self.load_told.map(counts) != Some(counts(load));
+        let changed = self.sent_load.map(counts) != Some(counts(load));
         let due_ms = if changed { LOAD_INTERVAL_MS } else { LOAD_REPEAT_MS };
         if age_ms < due_ms {
             return;
         }
-        self.load_told = Some(load);
-        self.load_told_at = now;
+        self.sent_load = Some(load);
+        self.load_sent_at = now;
         for link in self.links.values().filter(|link| link.open && link.subscribed) {
             send(net, link, &ToCoordinator::Load(load));
         }
     }
 
-    /// Tells every coordinator what a canary is judged by: any of them may lead in a moment.
-    pub fn tell_evidence(&mut self, net: &mut Net, evidence: VersionEvidence) {
+    /// Sends canary evidence to every coordinator, since any of them may become the leader.
+    pub fn send_evidence(&mut self, net: &mut Net, evidence: VersionEvidence) {
         let message = ToCoordinator::Evidence(evidence);
         for link in self.links.values().filter(|link| link.open) {
             send(net, link, &message);
         }
     }
 
-    /// Tells every coordinator what is known of requests that may crash upstreams: each passes it on
-    /// at once to those that subscribed to it.
-    pub fn tell_poison(&mut self, net: &mut Net, notices: Vec<PoisonNotice>) {
+    /// Sends notices about requests that may crash upstreams to every coordinator; each forwards
+    /// them at once to its subscribers.
+    pub fn send_poison_notices(&mut self, net: &mut Net, notices: Vec<PoisonNotice>) {
         if notices.is_empty() {
             return;
         }
@@ -64,10 +68,10 @@
         }
     }
 
-    /// How many coordinators know a report, and how many are linked.
-    pub fn taken_by(&self, sequence: u64) -> (usize, usize) {
+    /// The number of coordinators that acknowledged a report, and the number of linked ones.
+    pub fn acknowledged_by(&self, sequence: u64) -> (usize, usize) {
         let open = self.links.values().filter(|link| link.welcomed);
-        let taken = open.clone().filter(|link| link.taken >= sequence);
-        (taken.count(), open.count())
+        let acknowledged = open.clone().filter(|link| link.acked_sequence >= sequence);
+        (acknowledged.count(), open.count())
     }
 }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of a sidecar, set when they are asked for.
+//! Metrics of the sidecar, updated when they are requested.
 
 use crate::calls::CallCounts;
 use crate::net::SentBytes;
@@ -6,67 +6,67 @@
 use admission::PacerCounts;
 use telemetry::{Gauge, Registry};
 
-/// What the figures are taken from.
+/// The values that the metrics are computed from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Snapshot {
-    /// Outbound side.
+    /// Counters of the outbound side.
     pub calls: CallCounts,
     /// Calls without a final answer.
     pub in_flight: usize,
-    /// Calls the upstream works on.
+    /// Calls that run at the upstream.
     pub running: u32,
-    /// Calls that wait for the upstream.
+    /// Calls that are queued for the upstream.
     pub queued: u32,
     /// Generation in force.
     pub generation: u64,
-    /// Nodes known.
+    /// Known nodes.
     pub nodes: usize,
     /// Open connections.
     pub connections: usize,
-    /// Part of this machine's link in use, percent.
+    /// Utilization of this machine's link, in percent.
     pub link_percent: u32,
-    /// What was handed over to that link.
+    /// Counters of the messages sent over that link.
     pub sent: PacerCounts,
-    /// Bytes of it by use.
+    /// Bytes sent over it, by use.
     pub sent_bytes: SentBytes,
     /// Bytes that wait for it.
     pub link_waiting_bytes: usize,
-    /// Calls refused since their answers would have waited too long for it.
+    /// Calls refused because their answers would have waited too long for it.
     pub link_refusals: u64,
-    /// Calls refused since the upstream was cold.
+    /// Calls refused because the upstream was cold.
     pub cold_refusals: u64,
-    /// Share of recent calls that the upstream failed, percent.
+    /// Share of recent calls that the upstream failed, in percent.
     pub failing_percent: u32,
-    /// Since when the generation in force is known to be the newest, milliseconds ago.
+    /// How long ago the generation in force was last confirmed to be the newest, in milliseconds.
     pub confirmed_ms: Option<u64>,
-    /// Upstreams that may be given calls, and the others known.
+    /// Number of upstreams that may receive calls, and of all other known ones.
     pub upstreams: (usize, usize),
     /// Tenants of the generation in force.
     pub tenants: usize,
-    /// Calls of tenants with a limit.
+    /// Counters of calls by tenants with a limit.
     pub quota: GateCounts,
     /// Requests that are kept from upstreams.
     pub quarantined: usize,
-    /// Requests that ran when an upstream ended, and that nothing clears.
+    /// Requests that were running when an upstream ended, and that have not been cleared.
     pub suspects: usize,
 }
 
-/// Reads one figure.
+/// Reads the value of one metric.
 type Read = fn(&Snapshot) -> i64;
 
-/// Name, explanation and reading of one figure.
-type Figure = (&'static str, &'static str, Read);
+/// Name, help text and value of one metric.
+type MetricDefinition = (&'static str, &'static str, Read);
 
-/// The registered figures.
+/// The registered metrics.
 pub struct Metrics {
     registry: Registry,
     gauges: Vec<(Gauge, Read)>,
 }
 
 impl Metrics {
-    /// Registers all figures.
+    /// Registers all metrics.
     pub fn new(registry: Registry) -> Self {
-        let figures: [Figure; 41] = [
+        let definitions: [MetricDefinition; 41] = [
             ("calls_begun", "Calls taken in", |s| s.calls.begun as i64),
             ("calls_answered", "Answers of upstreams passed on", |s| s.calls.answered as i64),
             ("calls_refused", "Calls refused, not run", |s| s.calls.refused as i64),
@@ -115,14 +115,14 @@
             ("requests_quarantined", "Requests kept from upstreams", |s| s.quarantined as i64),
             ("requests_suspected", "Requests that may crash upstreams", |s| s.suspects as i64),
         ];
-        let gauges = figures
+        let gauges = definitions
             .into_iter()
             .map(|(name, help, read)| (registry.gauge(&format!("sidecar_{name}"), help), read))
             .collect();
         Metrics { registry, gauges }
     }
 
-    /// The text exposition.
+    /// Returns the metrics in the text exposition format.
     pub fn encode(&self, snapshot: &Snapshot) -> String {
         for (gauge, read) in &self.gauges {
             gauge.set(read(snapshot));
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -10,8 +10,9 @@
 use std::time::Duration;
 use telemetry::BootInstant;
 
-/// A machine that went dark answers nothing; sent bytes are given up after this time.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
+/// Sent data that an unreachable machine has not acknowledged after this time breaks the
+/// connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
 
@@ -24,18 +25,19 @@
     pub sent: usize,
     pub opening: bool,
     pub ended: bool,
-    /// Since when this side waits for the other to end; what still comes is dropped.
+    /// Since when this side waits for the other one to close; data received in the meantime is
+    /// dropped.
     pub lingering: Option<BootInstant>,
     /// Whether the other side is on another machine.
     pub remote: bool,
-    /// Order of what is sent on it among all that waits for the link.
+    /// Priority of its messages among all that wait for the link.
     pub urgency: SendUrgency,
     pub used_for: LinkUse,
 }
 
 impl Connection {
     pub fn new(generation: u64, stream: TcpStream, opening: bool, remote: bool) -> Self {
-        prepare(&stream);
+        set_socket_options(&stream);
         Connection {
             generation,
             stream,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Whether the connection is open; an error if it cannot be opened.
+    /// Whether the connection is established; an error if it failed.
     pub fn is_open(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -63,12 +65,12 @@
         }
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub fn flush(&mut self) {
         self.write_piece(usize::MAX);
     }
 
-    /// Writes at most so many bytes of what is to be sent; returns how many the socket took.
+    /// Writes at most `most` bytes of the output; returns how many the socket accepted.
     pub fn write_piece(&mut self, most: usize) -> usize {
         if self.opening {
             return 0;
@@ -80,7 +82,7 @@
                 Ok(0) => break,
                 Ok(count) => self.sent += count,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // A broken connection also becomes readable, which tells its end.
+                // A broken connection also becomes readable, and reading reports its end.
                 Err(_) => break,
             }
         }
@@ -92,17 +94,18 @@
         taken
     }
 
-    /// Tells the other side that nothing more comes. One that has closed needs not be told.
-    pub fn end_sending(&self) {
+    /// Shuts down the sending direction. This fails harmlessly if the other side has already
+    /// closed.
+    pub fn shutdown_write(&self) {
         if let Err(error) = self.stream.shutdown(Shutdown::Write) {
             tracing::debug!(%error, "end_not_sent");
         }
     }
 }
 
-/// Makes a connection notice a peer that went dark. A socket that takes an option badly is used
-/// without it.
-fn prepare(stream: &TcpStream) {
+/// Sets the options by which a connection detects an unreachable peer. If an option cannot be set,
+/// the socket is used without it.
+fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
@@ -110,7 +113,7 @@
         .with_retries(KEEPALIVE_PROBES);
     let options = [
         stream.set_nodelay(true),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT)),
+        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)),
         socket.set_tcp_keepalive(&keepalive),
     ];
     for error in options.into_iter().filter_map(Result::err) {
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -1,9 +1,9 @@
-//! Sockets: a table of connections over one poll, with buffered output.
+//! The sockets of the process: a table of connections over one poll instance, with buffered output.
 
 mod connection;
 mod usage;
 
-pub use usage::{LinkUse, Passed, SentBytes};
+pub use usage::{LinkUse, SentBytes, Traffic};
 
 use admission::{LinkRoom, Pacer, PacerCounts, SendUrgency};
 use bytes::BytesMut;
@@ -17,86 +17,87 @@
 use std::time::Duration;
 use telemetry::BootInstant;
 
-/// Names a connection; never used for another one, even after its place in the table is.
+/// Identifies a connection. An id is never reused, even if its index in the table is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId {
-    place: usize,
+    index: usize,
     generation: u64,
 }
 
 impl ConnectionId {
-    /// An id for tests of the cores, which open no connection.
+    /// An id for tests of components without sockets.
     pub fn for_tests(number: u64) -> Self {
-        ConnectionId { place: 0, generation: number }
+        ConnectionId { index: 0, generation: number }
     }
 }
 
-/// Tokens from here on are listeners.
+/// Tokens from this value on belong to listeners.
 const FIRST_LISTENER: usize = 1 << 30;
-const SCRATCH_BYTES: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 const EVENTS_CAPACITY: usize = 256;
-const BACKLOG_ACCEPTS: usize = 64;
+const MAX_ACCEPTS_PER_POLL: usize = 64;
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// What happened on the sockets.
+/// An event on the sockets.
 #[derive(Debug)]
 pub enum NetEvent {
     /// A listener accepted a connection.
     Accepted {
-        /// Which listener.
+        /// Number of the listener.
         listener: usize,
         /// The new connection.
         connection: ConnectionId,
     },
-    /// A connection that was being opened is open.
-    Opened(ConnectionId),
-    /// Bytes were added to a connection's input.
+    /// A connection was established.
+    Connected(ConnectionId),
+    /// Data was appended to the input of a connection.
     Received(ConnectionId),
     /// The other side ended a connection. It stays in the table until it is closed here.
     Ended(ConnectionId, StreamEnd),
-    /// A connection that was being opened could not be; it is closed.
-    NotOpened(ConnectionId),
+    /// A connection could not be established; it is closed.
+    ConnectFailed(ConnectionId),
 }
 
-/// All sockets of one process.
+/// All sockets of the process.
 pub struct Net {
     poll: Poll,
     events: Events,
     listeners: Vec<TcpListener>,
-    /// Listeners with connections that wait, of which no event will tell: one tells of new ones only.
-    accepts_wait: Vec<usize>,
+    /// Listeners that still have connections to accept although no further event will report them,
+    /// since the poll only reports new ones.
+    pending_accepts: Vec<usize>,
     connections: Slab<Connection>,
     opened: u64,
-    own: IpAddr,
-    passed: Passed,
-    /// What waits for this machine's link.
+    own_ip: IpAddr,
+    traffic: Traffic,
+    /// Messages that wait for this machine's link.
     pacer: Pacer<ConnectionId>,
     sent_bytes: SentBytes,
     since: BootInstant,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl Net {
-    /// No sockets yet, on the machine with this address, whose link carries so many bytes a
-    /// millisecond; `None` if that is not known.
-    pub fn new(own: IpAddr, link_bytes_per_ms: Option<f64>) -> io::Result<Self> {
+    /// Creates the state without sockets for the machine with this address. `link_bytes_per_ms` is
+    /// the capacity of its link, in bytes per millisecond; `None` if unknown.
+    pub fn new(own_ip: IpAddr, link_bytes_per_ms: Option<f64>) -> io::Result<Self> {
         Ok(Net {
             poll: Poll::new()?,
             events: Events::with_capacity(EVENTS_CAPACITY),
             listeners: Vec::new(),
-            accepts_wait: Vec::new(),
+            pending_accepts: Vec::new(),
             connections: Slab::new(),
             opened: 0,
-            own,
-            passed: Passed::default(),
+            own_ip,
+            traffic: Traffic::default(),
             pacer: Pacer::new(link_bytes_per_ms),
             sent_bytes: SentBytes::default(),
             since: BootInstant::now(),
-            scratch: vec![0; SCRATCH_BYTES],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
         })
     }
 
-    /// Listens on an address; returns the listener's number.
+    /// Listens on an address; returns the number of the listener.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<usize> {
         let mut listener = TcpListener::bind(address)?;
         let number = self.listeners.len();
@@ -106,7 +107,7 @@
         Ok(number)
     }
 
-    /// Begins to open a connection; [`NetEvent::Opened`] or [`NetEvent::NotOpened`] follows.
+    /// Starts to open a connection; [`NetEvent::Connected`] or [`NetEvent::ConnectFailed`] follows.
     pub fn connect(&mut self, address: SocketAddr) -> io::Result<ConnectionId> {
         let stream = TcpStream::connect(address)?;
         self.add(stream, address.ip(), true)
@@ -118,28 +119,28 @@
         other: IpAddr,
         opening: bool,
     ) -> io::Result<ConnectionId> {
-        let remote = other != self.own && !other.is_loopback();
+        let remote = other != self.own_ip && !other.is_loopback();
         let entry = self.connections.vacant_entry();
-        let place = entry.key();
+        let index = entry.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(place), interest)?;
+        self.poll.registry().register(&mut stream, Token(index), interest)?;
         self.opened += 1;
         let generation = self.opened;
         entry.insert(Connection::new(generation, stream, opening, remote));
-        Ok(ConnectionId { place, generation })
+        Ok(ConnectionId { index, generation })
     }
 
     fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        let found = self.connections.get_mut(id.place);
+        let found = self.connections.get_mut(id.index);
         found.filter(|connection| connection.generation == id.generation)
     }
 
-    /// Bytes received and not yet taken.
+    /// Received data that has not been consumed yet.
     pub fn input(&mut self, id: ConnectionId) -> Option<&mut BytesMut> {
         self.get_mut(id).map(|connection| &mut connection.input)
     }
 
-    /// Gives the memory of an emptied input back.
+    /// Releases the memory of an empty input buffer.
     pub fn trim(&mut self, id: ConnectionId) {
         if let Some(connection) = self.get_mut(id) {
             if connection.input.is_empty() {
@@ -148,9 +149,9 @@
         }
     }
 
-    /// Takes what passed between this machine and others since the last time.
-    pub fn take_passed(&mut self) -> Passed {
-        std::mem::take(&mut self.passed)
+    /// Takes the traffic with other machines since the last call.
+    pub fn take_traffic(&mut self) -> Traffic {
+        std::mem::take(&mut self.traffic)
     }
 
     /// Number of connections.
@@ -162,15 +163,15 @@
         self.since.elapsed().as_secs_f64() * MS_PER_SECOND
     }
 
-    /// Counts a connection as one to another machine whatever its address is, for tests of sockets
-    /// on one machine.
+    /// Treats a connection as one to another machine regardless of its address, for tests with
+    /// sockets on a single machine.
     pub fn set_remote_for_tests(&mut self, id: ConnectionId) {
         if let Some(connection) = self.get_mut(id) {
             connection.remote = true;
         }
     }
 
-    /// Sets what a connection is for.
+    /// Sets the use of a connection.
     pub fn set_use(&mut self, id: ConnectionId, used_for: LinkUse) {
         if let Some(connection) = self.get_mut(id) {
             connection.used_for = used_for;
@@ -182,14 +183,14 @@
         self.sent_bytes
     }
 
-    /// Sets the order of what is sent on a connection from now on.
+    /// Sets the priority of messages sent on a connection from now on.
     pub fn set_urgency(&mut self, id: ConnectionId, urgency: SendUrgency) {
         if let Some(connection) = self.get_mut(id) {
             connection.urgency = urgency;
         }
     }
 
-    /// Sends bytes, when the link and the socket take them.
+    /// Sends bytes as soon as the link and the socket allow it.
     pub fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.get_mut(id) else {
             return;
@@ -201,7 +202,7 @@
             connection.flush();
             return;
         }
-        self.passed.sent += bytes.len();
+        self.traffic.sent += bytes.len();
         self.sent_bytes.note(used_for, bytes.len());
         let now_ms = self.now_ms();
         if self.pacer.holds(id) {
@@ -209,7 +210,7 @@
             return;
         }
         if !self.pacer.goes_at_once(bytes.len(), urgency) {
-            // With what the socket did not take of an earlier message, which goes first.
+            // Includes the unsent rest of earlier messages, which must go first.
             self.pacer.push(id, unsent, urgency, now_ms);
             self.pump();
             return;
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Hands over what the link has room for.
+    /// Writes the waiting messages for which the link has room.
     pub fn pump(&mut self) {
         let now_ms = self.now_ms();
         while let Some(piece) = self.pacer.next(now_ms) {
@@ -239,26 +240,27 @@
         }
     }
 
-    /// Tells the other side the end of a connection that was finished once its output is out.
+    /// Shuts down a connection being finished once its output has been written.
     fn end_if_finished(&mut self, id: ConnectionId) {
         let Some(connection) = self.get_mut(id) else {
             return;
         };
         if connection.lingering.is_some() && connection.output.is_empty() {
-            connection.end_sending();
+            connection.shutdown_write();
             if connection.ended {
                 self.close(id);
             }
         }
     }
 
-    /// Time until the link has room for what waits for it, milliseconds; `None` if nothing does.
+    /// Time until the link has room for the next waiting message, in milliseconds; `None` if no
+    /// message waits.
     pub fn due_in_ms(&self) -> Option<u64> {
         let due_ms = self.pacer.due_in_ms(self.now_ms())?;
         Some((due_ms.ceil() as u64).max(1))
     }
 
-    /// Room of this machine's outgoing link.
+    /// Available capacity of this machine's outgoing link.
     pub fn link_room(&self) -> LinkRoom {
         LinkRoom {
             bytes_per_ms: self.pacer.left_bytes_per_ms(self.now_ms()),
@@ -266,32 +268,32 @@
         }
     }
 
-    /// What was handed over to the link since the start.
+    /// Counters of the messages sent over the link since the start.
     pub fn pacer_counts(&self) -> PacerCounts {
         self.pacer.counts()
     }
 
-    /// Whether anything waits for a socket to take it.
+    /// Whether any connection has output that the socket has not accepted yet.
     pub fn has_unsent(&self) -> bool {
         self.connections.iter().any(|(_, connection)| !connection.output.is_empty())
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection immediately.
     pub fn close(&mut self, id: ConnectionId) {
         if self.get_mut(id).is_none() {
             return;
         }
         self.pacer.remove(id);
-        if let Some(mut connection) = self.connections.try_remove(id.place) {
+        if let Some(mut connection) = self.connections.try_remove(id.index) {
             if let Err(error) = self.poll.registry().deregister(&mut connection.stream) {
-                // It is closed all the same, which ends its events as well.
+                // The socket is closed anyway, which removes it from the poll.
                 tracing::debug!(%error, "socket_not_deregistered");
             }
         }
     }
 
-    /// Closes a connection in good order: its output goes out first, and the other side is told
-    /// the end. The connection is dropped when the other side ends it, see [`Net::sweep`].
+    /// Closes a connection gracefully: its output is written first, followed by the end of the
+    /// stream. The connection is dropped when the other side closes it too, or by [`Net::sweep`].
     pub fn finish(&mut self, id: ConnectionId) {
         let Some(connection) = self.get_mut(id) else {
             return;
@@ -306,34 +308,35 @@
         self.end_if_finished(id);
     }
 
-    /// Drops connections that were finished longer than `longest` ago and not ended since.
+    /// Drops connections that were finished more than `longest` ago and that the other side has not
+    /// closed.
     pub fn sweep(&mut self, longest: Duration) {
-        // What waits for the link is no sign of a peer that does not read.
-        let late = |place: usize, connection: &Connection| {
-            let id = ConnectionId { place, generation: connection.generation };
+        // Output that waits for the link does not mean that the peer has stopped reading.
+        let late = |index: usize, connection: &Connection| {
+            let id = ConnectionId { index, generation: connection.generation };
             let waits = self.pacer.holds(id) && !connection.ended;
             !waits && connection.lingering.is_some_and(|since| since.elapsed() > longest)
         };
-        let of = |(place, connection): (usize, &Connection)| ConnectionId {
-            place,
+        let of = |(index, connection): (usize, &Connection)| ConnectionId {
+            index,
             generation: connection.generation,
         };
-        let found = self.connections.iter().filter(|(place, held)| late(*place, held));
+        let found = self.connections.iter().filter(|(index, held)| late(*index, held));
         let ids: Vec<ConnectionId> = found.map(of).collect();
         for id in ids {
             self.close(id);
         }
     }
 
-    /// Waits for events, at most `longest`.
+    /// Waits for events, for at most `longest`.
     pub fn poll(&mut self, longest: Duration) -> Vec<NetEvent> {
-        let mut happened = Vec::new();
-        let longest = if self.accepts_wait.is_empty() { longest } else { Duration::ZERO };
+        let mut net_events = Vec::new();
+        let longest = if self.pending_accepts.is_empty() { longest } else { Duration::ZERO };
         if let Err(error) = self.poll.poll(&mut self.events, Some(longest)) {
             if error.kind() != io::ErrorKind::Interrupted {
                 tracing::error!(%error, "poll_failed");
             }
-            return happened;
+            return net_events;
         }
         let ready: Vec<(usize, bool, bool)> = self
             .events
@@ -343,31 +346,31 @@
                 (event.token().0, readable, event.is_writable() || event.is_error())
             })
             .collect();
-        for listener in std::mem::take(&mut self.accepts_wait) {
-            self.accept(listener, &mut happened);
+        for listener in std::mem::take(&mut self.pending_accepts) {
+            self.accept(listener, &mut net_events);
         }
         for (token, readable, writable) in ready {
             match token.checked_sub(FIRST_LISTENER) {
-                Some(listener) => self.accept(listener, &mut happened),
+                Some(listener) => self.accept(listener, &mut net_events),
                 None => {
                     let found = self.connections.get(token);
                     let generation = found.map(|connection| connection.generation);
                     if let Some(generation) = generation {
-                        let id = ConnectionId { place: token, generation };
-                        self.on_ready(id, readable, writable, &mut happened);
+                        let id = ConnectionId { index: token, generation };
+                        self.on_readiness(id, readable, writable, &mut net_events);
                     }
                 }
             }
         }
-        happened
+        net_events
     }
 
-    fn accept(&mut self, listener: usize, happened: &mut Vec<NetEvent>) {
-        for _ in 0..BACKLOG_ACCEPTS {
+    fn accept(&mut self, listener: usize, net_events: &mut Vec<NetEvent>) {
+        for _ in 0..MAX_ACCEPTS_PER_POLL {
             match self.listeners[listener].accept() {
                 Ok((stream, other)) => match self.add(stream, other.ip(), false) {
                     Ok(connection) => {
-                        happened.push(NetEvent::Accepted { listener, connection });
+                        net_events.push(NetEvent::Accepted { listener, connection });
                     }
                     Err(error) => tracing::warn!(%error, "accepted_connection_dropped"),
                 },
@@ -379,15 +382,15 @@
                 }
             }
         }
-        self.accepts_wait.push(listener);
+        self.pending_accepts.push(listener);
     }
 
-    fn on_ready(
+    fn on_readiness(
         &mut self,
         id: ConnectionId,
         readable: bool,
         writable: bool,
-        happened: &mut Vec<NetEvent>,
+        net_events: &mut Vec<NetEvent>,
     ) {
         let Some(connection) = self.get_mut(id) else {
             return;
@@ -396,12 +399,12 @@
             match connection.is_open() {
                 Ok(true) => {
                     connection.opening = false;
-                    happened.push(NetEvent::Opened(id));
+                    net_events.push(NetEvent::Connected(id));
                 }
                 Ok(false) => return,
                 Err(_) => {
                     self.close(id);
-                    happened.push(NetEvent::NotOpened(id));
+                    net_events.push(NetEvent::ConnectFailed(id));
                     return;
                 }
             }
@@ -410,7 +413,7 @@
             self.on_writable(id);
         }
         if readable {
-            self.read(id, happened);
+            self.read(id, net_events);
         }
     }
 
@@ -423,13 +426,13 @@
         if let Some(connection) = self.get_mut(id) {
             connection.flush();
             if connection.lingering.is_some() && connection.output.is_empty() {
-                connection.end_sending();
+                connection.shutdown_write();
             }
         }
     }
 
-    fn read(&mut self, id: ConnectionId, happened: &mut Vec<NetEvent>) {
-        let Some(connection) = self.connections.get_mut(id.place) else {
+    fn read(&mut self, id: ConnectionId, net_events: &mut Vec<NetEvent>) {
+        let Some(connection) = self.connections.get_mut(id.index) else {
             return;
         };
         if connection.ended {
@@ -438,12 +441,12 @@
         let mut received = false;
         let mut received_bytes = 0;
         let end = loop {
-            match connection.stream.read(&mut self.scratch) {
+            match connection.stream.read(&mut self.read_buffer) {
                 Ok(0) => break Some(StreamEnd::Clean),
                 Ok(count) => {
                     received_bytes += count;
                     if connection.lingering.is_none() {
-                        connection.input.extend_from_slice(&self.scratch[..count]);
+                        connection.input.extend_from_slice(&self.read_buffer[..count]);
                         received = true;
                     }
                 }
@@ -453,10 +456,10 @@
             }
         };
         if received {
-            happened.push(NetEvent::Received(id));
+            net_events.push(NetEvent::Received(id));
         }
         if connection.remote && received_bytes > 0 {
-            self.passed.received += received_bytes;
+            self.traffic.received += received_bytes;
             let now_ms = self.since.elapsed().as_secs_f64() * MS_PER_SECOND;
             self.pacer.note_received(received_bytes, now_ms);
         }
@@ -465,7 +468,7 @@
             if connection.lingering.is_some() {
                 self.close(id);
             } else {
-                happened.push(NetEvent::Ended(id, end));
+                net_events.push(NetEvent::Ended(id, end));
             }
         }
     }
--- a/crates/sidecar/src/net/usage.rs
+++ b/crates/sidecar/src/net/usage.rs
@@ -1,13 +1,13 @@
-//! What passes between this machine and others, by use.
+//! Traffic counters between this machine and others, by use.
 
-/// What a connection to another machine is for.
+/// The use of a connection to another machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkUse {
-    /// Calls that go to peers.
+    /// Calls to peers.
     Calls,
-    /// Answers that go to peers, refusals and grants included.
+    /// Answers to peers, including refusals and grants.
     Answers,
-    /// What coordinators are told.
+    /// Messages to coordinators.
     #[default]
     Control,
 }
@@ -19,7 +19,7 @@
     pub calls: u64,
     /// Answers.
     pub answers: u64,
-    /// What coordinators are told.
+    /// Messages to coordinators.
     pub control: u64,
 }
 
@@ -34,11 +34,11 @@
     }
 }
 
-/// Bytes that passed between this machine and others.
+/// Bytes exchanged with other machines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passed {
-    /// From others.
+pub struct Traffic {
+    /// Bytes received.
     pub received: usize,
-    /// To others.
+    /// Bytes sent.
     pub sent: usize,
 }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections on which this sidecar asks: one request at a time each, kept between requests.
+//! Client connections of the sidecar: one request at a time on each, kept open between requests.
 
 use crate::net::{ConnectionId, LinkUse, Net, NetEvent};
 use crate::Millis;
@@ -8,124 +8,125 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Longest time for opening a connection, milliseconds.
-const OPEN_LIMIT_MS: u64 = 350;
+/// Timeout for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 350;
 const MAX_ANSWER_HEAD_BYTES: usize = 64 * 1024;
 const MAX_ANSWER_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// How an asked request ended.
+/// How an outgoing request ended.
 #[derive(Debug)]
 pub enum PoolEnd {
-    /// It was not sent whole, so it cannot have run.
+    /// The request was not sent completely, so it cannot have run.
     NotSent,
-    /// A whole answer.
+    /// A complete answer was received.
     Answered(Answer),
-    /// It was sent, and no proper answer came.
+    /// The request was sent, and no valid answer was received.
     Failed(ExchangeError),
 }
 
-/// A request as it is asked.
+/// A request ready to be sent.
 #[derive(Debug)]
-pub struct Asked {
-    /// Method, which decides how the answer is framed.
+pub struct OutgoingRequest {
+    /// The method, which determines the framing of the answer.
     pub method: String,
-    /// The whole request as bytes, or its head if its body is offered.
+    /// The encoded request, or only its head if its body is offered.
     pub bytes: Vec<u8>,
-    /// The request whose body is offered: sent as the other side grants it.
+    /// The request whose body is offered and sent only as the receiver grants it.
     pub offered: Option<Rc<Request>>,
-    /// Id that its answer carries.
+    /// The id that the answer must carry.
     pub expected: Option<ExpectedId>,
 }
 
 #[derive(Debug)]
 enum State {
     Opening {
-        asked: Asked,
+        outgoing: OutgoingRequest,
         since: Millis,
     },
-    /// Nothing is asked; it is tried whether a connection is taken.
+    /// No request; checks whether the connection is accepted.
     Probing {
         since: Millis,
     },
     Busy {
         exchange: Exchange,
-        unsent: Option<Unsent>,
+        unsent: Option<UnsentBody>,
     },
     Idle {
         since: Millis,
     },
 }
 
-/// A body that is offered and not sent whole.
+/// An offered body that has not been sent completely.
 #[derive(Debug)]
-struct Unsent {
+struct UnsentBody {
     request: Rc<Request>,
     sent: usize,
 }
 
 #[derive(Debug)]
-struct Held<K> {
+struct PooledConnection<K> {
     address: SocketAddr,
     key: Option<K>,
     state: State,
 }
 
-/// Connections with what is asked on them; `K` names a request.
+/// Connections and the requests on them; `K` identifies a request.
 #[derive(Debug)]
 pub struct Pool<K> {
     idle_limit_ms: u64,
-    connections: BTreeMap<ConnectionId, Held<K>>,
+    connections: BTreeMap<ConnectionId, PooledConnection<K>>,
     by_key: BTreeMap<K, ConnectionId>,
     idle: BTreeMap<SocketAddr, Vec<ConnectionId>>,
-    /// Whether the connection that was tried last was taken.
-    probed: Option<bool>,
+    /// Whether the last probe connected.
+    probe_result: Option<bool>,
 }
 
 impl<K: Copy + Ord> Pool<K> {
-    /// A pool that keeps connections for `idle_limit_ms` between requests.
+    /// Creates a pool that keeps idle connections open for `idle_limit_ms`.
     pub fn new(idle_limit_ms: u64) -> Self {
         Pool {
             idle_limit_ms,
             connections: BTreeMap::new(),
             by_key: BTreeMap::new(),
             idle: BTreeMap::new(),
-            probed: None,
+            probe_result: None,
         }
     }
 
-    /// Tries whether a connection is taken; [`Pool::take_probed`] tells. One that is taken is kept
-    /// for the next request. `again`: one that rests unused, and so has not ended, will do.
+    /// Checks whether the address accepts a connection; [`Pool::take_probe_result`] returns the
+    /// result. A connection that was accepted is kept for the next request. With `again`, an idle
+    /// connection that has not ended counts as a success.
     pub fn probe(&mut self, net: &mut Net, address: SocketAddr, again: bool, now: Millis) {
         if again && self.idle.get(&address).is_some_and(|idle| !idle.is_empty()) {
-            self.probed = Some(true);
+            self.probe_result = Some(true);
             return;
         }
         match net.connect(address) {
             Ok(id) => {
                 let state = State::Probing { since: now };
-                self.connections.insert(id, Held { address, key: None, state });
+                self.connections.insert(id, PooledConnection { address, key: None, state });
             }
-            Err(_) => self.probed = Some(false),
+            Err(_) => self.probe_result = Some(false),
         }
     }
 
-    /// What the last probe showed, once.
-    pub fn take_probed(&mut self) -> Option<bool> {
-        self.probed.take()
+    /// Takes the result of the last probe.
+    pub fn take_probe_result(&mut self) -> Option<bool> {
+        self.probe_result.take()
     }
 
-    /// Asks a request; the end comes with a later event, or at once if it cannot be sent.
-    pub fn ask(
+    /// Sends a request; its end is reported by a later event, or at once if it cannot be sent.
+    pub fn send_request(
         &mut self,
         net: &mut Net,
         address: SocketAddr,
         key: K,
-        asked: Asked,
+        outgoing: OutgoingRequest,
         now: Millis,
     ) -> Option<PoolEnd> {
         if let Some(id) = self.take_idle(net, address) {
-            let state = send(net, id, asked);
-            self.connections.insert(id, Held { address, key: Some(key), state });
+            let state = send(net, id, outgoing);
+            self.connections.insert(id, PooledConnection { address, key: Some(key), state });
             self.by_key.insert(key, id);
             return None;
         }
@@ -133,17 +134,18 @@
             return Some(PoolEnd::NotSent);
         };
         net.set_use(id, LinkUse::Calls);
-        let state = State::Opening { asked, since: now };
-        self.connections.insert(id, Held { address, key: Some(key), state });
+        let state = State::Opening { outgoing, since: now };
+        self.connections.insert(id, PooledConnection { address, key: Some(key), state });
         self.by_key.insert(key, id);
         None
     }
 
-    /// The connection used last, since the one that rested longest is the likeliest to be closed.
+    /// Takes the most recently used idle connection, since the one that was idle longest is the
+    /// most likely to be closed.
     fn take_idle(&mut self, net: &mut Net, address: SocketAddr) -> Option<ConnectionId> {
         let idle = self.idle.get_mut(&address)?;
         while let Some(id) = idle.pop() {
-            // Bytes that came while it rested belong to no request.
+            // Data received while the connection was idle belongs to no request.
             if net.input(id).is_some_and(|input| input.is_empty()) {
                 return Some(id);
             }
@@ -158,7 +160,7 @@
         self.connections.contains_key(&id)
     }
 
-    /// Gives up a request; its connection is closed.
+    /// Aborts a request and closes its connection.
     pub fn abort(&mut self, net: &mut Net, key: K) {
         if let Some(id) = self.by_key.remove(&key) {
             self.connections.remove(&id);
@@ -166,13 +168,13 @@
         }
     }
 
-    /// Whether a request was sent whole, so that it may have run.
+    /// Whether a request was sent completely, so that it may have run.
     pub fn was_sent(&self, key: K) -> bool {
         let held = self.by_key.get(&key).and_then(|id| self.connections.get(id));
         held.is_some_and(|held| matches!(held.state, State::Busy { unsent: None, .. }))
     }
 
-    /// Takes in an event of one of its connections.
+    /// Handles an event on one of the connections.
     pub fn on_event(
         &mut self,
         net: &mut Net,
@@ -180,11 +182,11 @@
         now: Millis,
     ) -> Option<(K, PoolEnd)> {
         match event {
-            NetEvent::Opened(id) => {
+            NetEvent::Connected(id) => {
                 self.opened(net, *id, now);
                 None
             }
-            NetEvent::NotOpened(id) => {
+            NetEvent::ConnectFailed(id) => {
                 let held = self.connections.remove(id)?;
                 self.note_probe_failed(&held.state);
                 let key = held.key?;
@@ -202,9 +204,9 @@
             return;
         };
         match std::mem::replace(&mut held.state, State::Idle { since: now }) {
-            State::Opening { asked, .. } => held.state = send(net, id, asked),
+            State::Opening { outgoing, .. } => held.state = send(net, id, outgoing),
             State::Probing { .. } => {
-                self.probed = Some(true);
+                self.probe_result = Some(true);
                 self.idle.entry(held.address).or_default().push(id);
             }
             other => held.state = other,
@@ -213,14 +215,14 @@
 
     fn note_probe_failed(&mut self, state: &State) {
         if matches!(state, State::Probing { .. }) {
-            self.probed = Some(false);
+            self.probe_result = Some(false);
         }
     }
 
     fn received(&mut self, net: &mut Net, id: ConnectionId, now: Millis) -> Option<(K, PoolEnd)> {
         let held = self.connections.get_mut(&id)?;
         let State::Busy { exchange, unsent } = &mut held.state else {
-            // Nothing was asked.
+            // No request was sent.
             self.drop_connection(net, id);
             return None;
         };
@@ -231,11 +233,12 @@
                 None
             }
             Ok(Some(answer)) => {
-                // Of a body that was not wanted, nothing may have been sent.
-                let framed = unsent.as_ref().is_none_or(|body| body.sent == 0);
+                // If the body was rejected, the connection is reusable only if none of the body was
+                // sent.
+                let in_sync = unsent.as_ref().is_none_or(|body| body.sent == 0);
                 let key = held.key.take()?;
                 self.by_key.remove(&key);
-                if answer.reusable && framed {
+                if answer.reusable && in_sync {
                     held.state = State::Idle { since: now };
                     self.idle.entry(held.address).or_default().push(id);
                     net.trim(id);
@@ -261,7 +264,7 @@
                 None
             }
             State::Probing { .. } => {
-                self.probed = Some(false);
+                self.probe_result = Some(false);
                 self.drop_connection(net, id);
                 None
             }
@@ -291,10 +294,10 @@
     ) -> Option<(K, PoolEnd)> {
         let held = self.connections.get_mut(&id)?;
         let key = held.key.take()?;
-        let whole = !matches!(held.state, State::Busy { unsent: Some(_), .. });
+        let sent_whole = !matches!(held.state, State::Busy { unsent: Some(_), .. });
         self.by_key.remove(&key);
         self.drop_connection(net, id);
-        Some((key, if whole { PoolEnd::Failed(error) } else { PoolEnd::NotSent }))
+        Some((key, if sent_whole { PoolEnd::Failed(error) } else { PoolEnd::NotSent }))
     }
 
     fn drop_connection(&mut self, net: &mut Net, id: ConnectionId) {
@@ -306,11 +309,14 @@
         net.close(id);
     }
 
-    /// Closes what rested too long, and gives up what could not be opened in time.
+    /// Closes connections that were idle too long, and fails requests whose connection could not be
+    /// opened in time.
     pub fn tick(&mut self, net: &mut Net, now: Millis) -> Vec<(K, PoolEnd)> {
-        let late = |held: &Held<K>| match held.state {
+        let late = |held: &PooledConnection<K>| match held.state {
             State::Idle { since } => since + self.idle_limit_ms <= now,
-            State::Opening { since, .. } | State::Probing { since } => since + OPEN_LIMIT_MS <= now,
+            State::Opening { since, .. } | State::Probing { since } => {
+                since + CONNECT_TIMEOUT_MS <= now
+            }
             State::Busy { .. } => false,
         };
         let found = self.connections.iter().filter(|(_, held)| late(held));
@@ -328,28 +334,28 @@
     }
 }
 
-/// Sends what is asked, but for a body that is only offered.
-fn send(net: &mut Net, id: ConnectionId, asked: Asked) -> State {
-    net.send(id, &asked.bytes);
-    let Asked { method, expected, offered, .. } = asked;
+/// Sends a request, except for a body that is only offered.
+fn send(net: &mut Net, id: ConnectionId, outgoing: OutgoingRequest) -> State {
+    net.send(id, &outgoing.bytes);
+    let OutgoingRequest { method, expected, offered, .. } = outgoing;
     let exchange = Exchange::new(&method, expected, MAX_ANSWER_HEAD_BYTES, MAX_ANSWER_BODY_BYTES);
-    let unsent = offered.map(|request| Unsent { request, sent: 0 });
+    let unsent = offered.map(|request| UnsentBody { request, sent: 0 });
     State::Busy { exchange, unsent }
 }
 
-/// Sends as much of an offered body as the other side granted meanwhile.
+/// Sends as much of an offered body as the receiver has granted in the meantime.
 fn send_granted(
     net: &mut Net,
     id: ConnectionId,
     exchange: &mut Exchange,
-    unsent: &mut Option<Unsent>,
+    unsent: &mut Option<UnsentBody>,
 ) {
     for interim in exchange.take_interim() {
-        let Some(Unsent { request, sent }) = unsent else {
+        let Some(UnsentBody { request, sent }) = unsent else {
             return;
         };
         let left = &request.body[*sent..];
-        // Sidecars of an earlier version want the whole body.
+        // Sidecars of an earlier version accept the whole body at once.
         let granted = interim.number(GRANT_HEADER).map_or(left.len(), |bytes| bytes as usize);
         let piece = &left[..granted.min(left.len())];
         net.send(id, piece);
--- a/crates/sidecar/src/runtime/dispatch.rs
+++ b/crates/sidecar/src/runtime/dispatch.rs
@@ -1,11 +1,11 @@
-//! From sockets to cores, and from the cores' actions to sockets.
+//! Passes socket events to the decision-making parts, and carries out the actions that they return.
 
 use super::{Sidecar, Work, OWN_BODY_BYTES, OWN_HEADER_BYTES};
 use crate::calls::{AttemptEnd, CallAction, Origin};
 use crate::dialect::{HeaderNames, RegistrationDialect};
 use crate::jobs::{JobAction, Source, UpstreamEnd};
 use crate::net::{ConnectionId, NetEvent};
-use crate::pool::{Asked, PoolEnd};
+use crate::pool::{OutgoingRequest, PoolEnd};
 use crate::servers::ServerKind;
 use crate::{Attempt, Millis};
 use admission::{JobId, SendUrgency};
@@ -17,21 +17,21 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Of a request that no sidecar sent.
-const FOREIGN_STATUS: u16 = 421;
+/// Answer to a request on the peer port that was not sent by a sidecar.
+const MISDIRECTED_STATUS: u16 = 421;
 
-/// A call whose body a peer offers.
+/// A call whose body is offered by a peer.
 enum OfferedCall {
     Sized {
         attempt_id: String,
         hop: HopRequest,
         bytes: u64,
     },
-    /// It does not say how long its body is, so that no link can be booked for it.
+    /// The length of the body is unknown, so link capacity cannot be reserved for it.
     Unsized {
         attempt_id: String,
     },
-    /// It is not from a sidecar.
+    /// The request was not sent by a sidecar.
     Foreign,
 }
 
@@ -57,7 +57,7 @@
                 self.servers.accepted(&mut self.net, *connection, kind, now);
                 return;
             }
-            NetEvent::Opened(id) | NetEvent::NotOpened(id) | NetEvent::Received(id) => *id,
+            NetEvent::Connected(id) | NetEvent::ConnectFailed(id) | NetEvent::Received(id) => *id,
             NetEvent::Ended(id, _) => *id,
         };
         if let Some(kind) = self.servers.kind(id) {
@@ -70,11 +70,11 @@
             if let Some((job, end)) = self.upstream.on_event(&mut self.net, &event, now) {
                 self.upstream_ended(job, end, now);
             }
-            self.note_probed(now);
+            self.handle_probe_result(now);
         } else if self.links.holds(id) {
-            let news = self.links.on_event(&mut self.net, &event, now);
-            for news in news {
-                self.on_news(news, now);
+            let link_events = self.links.on_event(&mut self.net, &event, now);
+            for link_event in link_events {
+                self.on_link_event(link_event, now);
             }
         } else if matches!(event, NetEvent::Ended(..)) {
             self.net.close(id);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes in the offer of a peer, or what came of the body.
+    /// Handles a new offer of a peer, or the progress of an offered body.
     fn on_offer(&mut self, id: ConnectionId, now: Millis) {
         let bytes = self.servers.body_bytes(id);
         let mut actions = self.jobs.body_arrived(id, bytes, now);
@@ -160,7 +160,7 @@
                     actions.push(self.jobs.refuse_unsized(source, &attempt_id, now));
                 }
                 OfferedCall::Foreign => {
-                    self.answer(id, slot, Response::empty(FOREIGN_STATUS), now);
+                    self.answer(id, slot, Response::empty(MISDIRECTED_STATUS), now);
                 }
             }
         }
@@ -192,7 +192,7 @@
         self.last_request = now;
         let hop = request.headers.text(HOP_HEADER).and_then(HopRequest::decode);
         let Some(hop) = hop else {
-            self.answer(id, slot, Response::empty(FOREIGN_STATUS), now);
+            self.answer(id, slot, Response::empty(MISDIRECTED_STATUS), now);
             return;
         };
         self.net.set_urgency(id, send_urgency(&hop));
@@ -221,18 +221,20 @@
             CallAction::Send { attempt, to, request, hop, offered } => {
                 let mut headers = request.headers.clone();
                 headers.push(HOP_HEADER, hop.encode());
-                let asked = match offered {
-                    true => self.offered(request, headers),
-                    false => self.asked(&request, &headers),
+                let outgoing = match offered {
+                    true => self.outgoing_offer(request, headers),
+                    false => self.outgoing(&request, &headers),
                 };
                 let address = SocketAddr::from(to);
-                if let Some(end) = self.peers.ask(&mut self.net, address, attempt, asked, now) {
+                if let Some(end) =
+                    self.peers.send_request(&mut self.net, address, attempt, outgoing, now)
+                {
                     self.peer_ended(attempt, end, now);
                 }
             }
             CallAction::Answer { origin, response } => {
                 self.answer(origin.connection, origin.slot, response, now);
-                // Requests may have been held back behind this one.
+                // Further requests may have been held back behind this one.
                 self.take_requests(ServerKind::Caller, origin.connection, now);
             }
             CallAction::Abort(attempt) => {
@@ -243,21 +245,21 @@
         }
     }
 
-    pub(super) fn asked(&self, request: &Request, headers: &Headers) -> Asked {
+    pub(super) fn outgoing(&self, request: &Request, headers: &Headers) -> OutgoingRequest {
         let mut bytes = Vec::with_capacity(request.body.len() + 512);
         write_request(&mut bytes, &request.method, &request.target, headers, &request.body);
         let expected = self.expected_id(request);
-        Asked { method: request.method.clone(), bytes, offered: None, expected }
+        OutgoingRequest { method: request.method.clone(), bytes, offered: None, expected }
     }
 
-    /// A request whose body is sent as the other side grants it.
-    fn offered(&self, request: Rc<Request>, mut headers: Headers) -> Asked {
+    /// Builds a request whose body is sent only as the receiver grants it.
+    fn outgoing_offer(&self, request: Rc<Request>, mut headers: Headers) -> OutgoingRequest {
         headers.set("expect", "100-continue");
         let Request { method, target, body, .. } = &*request;
         let mut bytes = Vec::new();
         write_request_head(&mut bytes, method, target, &headers, body.len());
         let expected = self.expected_id(&request);
-        Asked { method: method.clone(), bytes, expected, offered: Some(request) }
+        OutgoingRequest { method: method.clone(), bytes, expected, offered: Some(request) }
     }
 
     fn expected_id(&self, request: &Request) -> Option<ExpectedId> {
@@ -269,9 +271,11 @@
         match action {
             JobAction::Run { job, mut request } => {
                 request.headers.remove_connection_headers();
-                let asked = self.asked(&request, &request.headers);
+                let outgoing = self.outgoing(&request, &request.headers);
                 let address = SocketAddr::from(self.settings.upstream);
-                if let Some(end) = self.upstream.ask(&mut self.net, address, job, asked, now) {
+                if let Some(end) =
+                    self.upstream.send_request(&mut self.net, address, job, outgoing, now)
+                {
                     self.upstream_ended(job, end, now);
                 }
             }
@@ -279,12 +283,12 @@
             JobAction::Probe { again } => {
                 let address = SocketAddr::from(self.settings.upstream);
                 self.upstream.probe(&mut self.net, address, again, now);
-                self.note_probed(now);
+                self.handle_probe_result(now);
             }
             JobAction::Grant { source: Source::Peer { connection, slot }, bytes } => {
-                self.servers.allow(&mut self.net, connection, slot, bytes);
+                self.servers.grant(&mut self.net, connection, slot, bytes);
             }
-            // A call of this machine has its body here.
+            // The body of a local call is already here.
             JobAction::Grant { source: Source::Local(_), .. } => {}
             JobAction::Reply { source: Source::Local(attempt), reply, response } => {
                 let end = AttemptEnd::Replied(reply, response);
@@ -313,11 +317,11 @@
         self.work.extend(actions.into_iter().map(Work::Call));
     }
 
-    fn note_probed(&mut self, now: Millis) {
-        if let Some(alive) = self.upstream.take_probed() {
+    fn handle_probe_result(&mut self, now: Millis) {
+        if let Some(alive) = self.upstream.take_probe_result() {
             let actions = self.jobs.probed(alive, now);
             self.work.extend(actions.into_iter().map(Work::Job));
-            self.tell_instance_change(now);
+            self.report_instance_change(now);
         }
     }
 
@@ -330,15 +334,15 @@
         if let UpstreamEnd::Answered(answer) = &end {
             let told = answer.response.headers.text(self.names.load);
             if let Some(told) = told.and_then(|value| self.dialect.read_load(value)) {
-                self.jobs.note_told(told, now);
+                self.jobs.note_load_report(told, now);
             }
         }
         let actions = self.jobs.ended(job, end, now);
         self.work.extend(actions.into_iter().map(Work::Job));
-        self.tell_instance_change(now);
+        self.report_instance_change(now);
     }
 
-    fn tell_instance_change(&mut self, now: Millis) {
+    fn report_instance_change(&mut self, now: Millis) {
         if self.jobs.take_instance_changed() {
             self.jobs.refresh_limit(now);
             self.report_instance(now);
@@ -346,7 +350,7 @@
     }
 }
 
-/// The place of a call's answer among what waits for the link.
+/// The priority of the call's answer among the messages that wait for the link.
 fn send_urgency(hop: &HopRequest) -> SendUrgency {
     SendUrgency { unhurried: !hop.begun, rank: hop.rank, target_ms: hop.target_ms }
 }
--- a/crates/sidecar/src/runtime/link.rs
+++ b/crates/sidecar/src/runtime/link.rs
@@ -1,4 +1,4 @@
-//! This machine's link: what passes over it, and what waits for it.
+//! Measures the utilization of this machine's link and logs when it is saturated.
 
 use super::Sidecar;
 use crate::dialect::RegistrationDialect;
@@ -9,14 +9,14 @@
 impl<D: RegistrationDialect> Sidecar<D> {
     pub(super) fn measure_link(&mut self) {
         let now = self.now();
-        let passed = self.net.take_passed();
+        let passed = self.net.take_traffic();
         self.link.received(passed.received, now);
         self.link.sent(passed.sent, now);
         self.jobs.link_percent = self.link.percent(now);
         self.jobs.set_link_room(self.net.link_room());
     }
 
-    /// Tells operators when large answers begin to wait for the link, and when they stop.
+    /// Logs when large answers begin to wait for the link, and when they stop waiting.
     pub(super) fn watch_link(&mut self, now: Millis) {
         let wait_ms = self.jobs.link_wait_ms();
         let Some(change) = self.link_watch.note(wait_ms, now) else {
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The loop of a sidecar: sockets to cores and back.
+//! The event loop of the sidecar: connects the sockets with the decision-making parts.
 
 mod dispatch;
 mod link;
@@ -10,7 +10,7 @@
 use crate::config::Config;
 use crate::dialect::{HeaderNames, RegistrationCall, RegistrationDialect};
 use crate::jobs::{JobAction, Jobs};
-use crate::link_meter::{LinkMeter, LinkWatch};
+use crate::link_meter::{LinkFullDetector, LinkMeter};
 use crate::links::{LinkEvent, Links};
 use crate::metrics::{Metrics, Snapshot};
 use crate::net::{ConnectionId, Net};
@@ -37,38 +37,40 @@
 use tracing::{info, warn};
 
 const HOUSEKEEPING_MS: u64 = 50;
-const RELOAD_LOOK_MS: u64 = 1_000;
-const LINGER_LIMIT: Duration = Duration::from_secs(1);
-/// Peers' connections rest this long before they are closed.
+const RELOAD_CHECK_MS: u64 = 1_000;
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle connections to peers are closed after this time, in milliseconds.
 const PEER_IDLE_MS: u64 = 20_000;
-/// Connections to the upstream rest this long; upstreams close them after some seconds.
+/// Idle connections to the upstream are closed after this time, in milliseconds; upstreams close
+/// them after some seconds.
 const UPSTREAM_IDLE_MS: u64 = 4_000;
 const OWN_HEADER_BYTES: usize = 64 * 1024;
 const OWN_BODY_BYTES: u64 = 64 * 1024 * 1024;
 const OWN_HEADER_MS: u64 = 10_000;
 const OWN_IDLE_MS: u64 = 60_000;
-/// How long the upstream's messages wait for what coordinators know of an earlier life, ms.
+/// How long messages of the upstream wait for the coordinators' knowledge of an earlier run of this
+/// sidecar, in milliseconds.
 const RESTORE_WAIT_MS: u64 = 800;
 
-/// Part of the slack for cold upstreams that is given to them at once: the rest is for what was sent
-/// before word came that they are cold.
-const BURST_PART_OF_SLACK: f64 = 0.5;
+/// Fraction of the slack for cold upstreams that is available as a burst. The rest covers calls
+/// that were sent before the news that the upstream is cold had arrived.
+const BURST_FRACTION_OF_SLACK: f64 = 0.5;
 
-/// A sidecar could not start.
+/// The sidecar could not start.
 #[derive(Debug, Snafu)]
 pub enum SidecarError {
-    /// The poll could not be made.
-    #[snafu(display("cannot make a poll: {source}"))]
+    /// The poll instance could not be created.
+    #[snafu(display("cannot create the poll instance: {source}"))]
     Poll {
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
-    /// An address cannot be used.
+    /// An address cannot be listened on.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Which.
+        /// The address.
         address: SocketAddr,
-        /// Cause.
+        /// The cause.
         source: io::Error,
     },
 }
@@ -110,16 +112,17 @@
     stop: StopPlan,
     last_request: Millis,
     link: LinkMeter,
-    link_watch: LinkWatch,
+    link_watch: LinkFullDetector,
     next_housekeeping: Millis,
-    next_reload_look: Millis,
-    /// Whether a coordinator was asked for a configuration before one was announced.
+    next_reload_check: Millis,
+    /// Whether a configuration was requested before any was announced.
     asked_first_config: bool,
-    /// Generation whose rates of cold upstreams were taken over.
-    cold_rates_of: u64,
+    /// Generation from which the rates of cold upstreams were applied last.
+    cold_rates_generation: u64,
 }
 
-/// Runs a sidecar until it is asked to stop. `settings_path` is read again when it changes.
+/// Runs a sidecar until it is asked to stop. The file at `settings_path` is reloaded when it
+/// changes.
 pub fn run<D: RegistrationDialect>(
     settings: SidecarSettings,
     settings_path: Option<PathBuf>,
@@ -130,7 +133,7 @@
 ) -> Result<(), SidecarError> {
     let mut sidecar = Sidecar::start(settings, settings_path, names, dialect)?;
     while !sidecar.is_over(stop) {
-        sidecar.turn(reload);
+        sidecar.run_once(reload);
     }
     info!("sidecar_stopped");
     Ok(())
@@ -205,7 +208,7 @@
         );
         let jobs = jobs.with_poison_watch(poison.clone());
         info!(name = %settings.name, %own, service = %settings.service, "sidecar_started");
-        warn!("connections between processes are plain: settings say plain_transport");
+        warn!("connections between processes are not encrypted: plain_transport is set");
         Ok(Sidecar {
             stop: StopPlan::new(settings.stop_ms),
             settings_modified: modified(settings_path.as_ref()),
@@ -232,11 +235,11 @@
             metrics: Metrics::new(registry),
             last_request: 0,
             link,
-            link_watch: LinkWatch::default(),
+            link_watch: LinkFullDetector::default(),
             next_housekeeping: 0,
-            next_reload_look: RELOAD_LOOK_MS,
+            next_reload_check: RELOAD_CHECK_MS,
             asked_first_config: false,
-            cold_rates_of: 0,
+            cold_rates_generation: 0,
         })
     }
 
@@ -244,8 +247,8 @@
         self.clock.now_ms()
     }
 
-    /// One turn of the loop: waits for events, handles them, and does what is due.
-    fn turn(&mut self, reload: &ReloadSignal) {
+    /// One iteration of the loop: waits for events, handles them, and does the work that is due.
+    fn run_once(&mut self, reload: &ReloadSignal) {
         let wait = self.next_due().saturating_sub(self.now());
         let events = self.net.poll(Duration::from_millis(wait));
         self.note_sleep();
@@ -263,28 +266,30 @@
         self.do_work();
         self.jobs.hedges_barred_until = self.calls.hedges_barred_until();
         self.acknowledge();
-        self.links.tell_poison(&mut self.net, self.poison.take_untold());
-        self.look_at_quotas(now);
+        self.links.send_poison_notices(&mut self.net, self.poison.take_untold());
+        self.process_quotas(now);
         if now >= self.next_housekeeping {
             self.next_housekeeping = now + HOUSEKEEPING_MS;
-            self.keep_house(now);
+            self.run_housekeeping(now);
         }
-        if reload.take() || now >= self.next_reload_look {
-            self.next_reload_look = now + RELOAD_LOOK_MS;
+        if reload.take() || now >= self.next_reload_check {
+            self.next_reload_check = now + RELOAD_CHECK_MS;
             self.reload_settings();
         }
     }
 
-    /// Lets on or refuses the calls that waited for a credit, and asks for those that wait now.
-    fn look_at_quotas(&mut self, now: Millis) {
+    /// Admits or refuses the calls that waited for a credit, and requests credits for those that
+    /// still wait.
+    fn process_quotas(&mut self, now: Millis) {
         let settled = self.calls.settle_quotas(&self.config, now);
         self.work.extend(settled.into_iter().map(Work::Call));
         self.do_work();
         self.links.ask_credits(&mut self.net, self.calls.quota.gate(), now);
     }
 
-    /// Ends what was over when the machine woke, before anything that came meanwhile is answered:
-    /// calls past their deadline, links that were silent, loads and confirmations that are old.
+    /// Expires everything whose time ran out while the machine slept, before any event that arrived
+    /// in the meantime is handled: calls past their deadline, silent links, outdated loads and
+    /// confirmations.
     fn note_sleep(&mut self) {
         let Some(slept) = self.sleep.look() else {
             return;
@@ -307,7 +312,7 @@
 
     fn next_due(&self) -> Millis {
         let now = self.now();
-        let dues = [
+        let due_times = [
             self.calls.next_tick(now),
             self.jobs.next_tick(now),
             self.registrar.next_tick(),
@@ -315,7 +320,7 @@
             Some(self.next_housekeeping),
             self.net.due_in_ms().map(|due_ms| now + due_ms),
         ];
-        dues.into_iter().flatten().min().unwrap_or(now)
+        due_times.into_iter().flatten().min().unwrap_or(now)
     }
 
     fn answer(&mut self, id: ConnectionId, slot: Slot, response: Response, now: Millis) {
@@ -359,12 +364,12 @@
         Response::text(200, &self.metrics.encode(&snapshot))
     }
 
-    fn on_news(&mut self, news: LinkEvent, now: Millis) {
-        match news {
+    fn on_link_event(&mut self, event: LinkEvent, now: Millis) {
+        match event {
             LinkEvent::Welcome(last) => {
                 self.restore(last, now);
-                self.links.tell_poison(&mut self.net, self.poison.all_known(now));
-                self.take_waiting_registrations(now);
+                self.links.send_poison_notices(&mut self.net, self.poison.all_known(now));
+                self.process_waiting_registrations(now);
             }
             LinkEvent::Config { generation, confirmed: false, update } => {
                 self.config.prepare(generation, &update);
@@ -374,7 +379,7 @@
                 let (generation, digest) = (self.config.generation(), self.config.digest());
                 self.links.applied(&mut self.net, generation, digest, now);
             }
-            LinkEvent::Newest { asked_at, generation } => {
+            LinkEvent::NewestGeneration { asked_at, generation } => {
                 self.config.freshness.note(asked_at, generation);
             }
             LinkEvent::Node(record) => {
@@ -398,7 +403,7 @@
                 self.work.extend(refused.into_iter().map(Work::Job));
                 self.calls.view.set_evacuated(zones, now);
             }
-            LinkEvent::Gone => {
+            LinkEvent::NodesGone => {
                 let links = &self.links;
                 let own = self.own;
                 let is_listed = |node: &NodeAddress| *node == own || links.is_listed(node, now);
@@ -406,20 +411,21 @@
             }
         }
         self.config.put_in_force(self.links.announced());
-        if self.config.generation() != self.cold_rates_of {
-            self.cold_rates_of = self.config.generation();
-            self.take_cold_rates(now);
+        if self.config.generation() != self.cold_rates_generation {
+            self.cold_rates_generation = self.config.generation();
+            self.apply_cold_rates(now);
         }
         self.calls.note_configuration(&self.config, now);
-        self.want_config(now);
+        self.request_config(now);
     }
 
-    /// Takes over what cold upstreams bear: the one beside this sidecar, and those it sends to.
-    fn take_cold_rates(&mut self, now: Millis) {
+    /// Applies the call rates for cold upstreams: to the local upstream and to those that calls are
+    /// sent to.
+    fn apply_cold_rates(&mut self, now: Millis) {
         let bounds = &self.settings.cold_start;
         let allowed = |per_s: f64| ColdRate {
             per_s: per_s * bounds.over,
-            burst: (bounds.slack * BURST_PART_OF_SLACK - 1.0).max(0.0),
+            burst: (bounds.slack * BURST_FRACTION_OF_SLACK - 1.0).max(0.0),
         };
         let rates = self.config.cold_rates().map(|(service, per_s)| (service, allowed(per_s)));
         let rates: BTreeMap<Rc<str>, ColdRate> =
@@ -430,19 +436,19 @@
         self.calls.view.set_cold_rates(per_s);
     }
 
-    /// Asks for a newer configuration, or at the start for the one that coordinators know before
-    /// any of them has announced it.
-    fn want_config(&mut self, now: Millis) {
+    /// Requests a newer configuration; after the start, requests the one that the coordinators hold
+    /// even before any of them has announced it.
+    fn request_config(&mut self, now: Millis) {
         if !self.asked_first_config {
             let digest = self.config.digest();
-            self.asked_first_config = self.links.want_first_config(&mut self.net, digest, now);
+            self.asked_first_config = self.links.request_first_config(&mut self.net, digest, now);
         }
         let (generation, digest) = (self.config.generation(), self.config.digest());
-        self.links.want_config(&mut self.net, generation, digest, now);
+        self.links.request_config(&mut self.net, generation, digest, now);
     }
 
-    fn keep_house(&mut self, now: Millis) {
-        self.net.sweep(LINGER_LIMIT);
+    fn run_housekeeping(&mut self, now: Millis) {
+        self.net.sweep(LINGER_TIMEOUT);
         self.watch_link(now);
         for (attempt, end) in self.peers.tick(&mut self.net, now) {
             self.peer_ended(attempt, end, now);
@@ -452,16 +458,16 @@
         }
         self.do_work();
         self.links.tick(&mut self.net, now);
-        self.links.tell_load(&mut self.net, self.jobs.told_load(now), now);
+        self.links.send_load(&mut self.net, self.jobs.load_report(now), now);
         if let Some(evidence) = self.jobs.evidence_due(now) {
-            self.links.tell_evidence(&mut self.net, evidence);
+            self.links.send_evidence(&mut self.net, evidence);
         }
         self.poison.expire(now);
         self.calls.tell_repeats(now);
         self.calls.quota.keep_house(self.config.tenants().any_limit(), now);
-        self.want_config(now);
+        self.request_config(now);
         if now >= RESTORE_WAIT_MS {
-            self.take_waiting_registrations(now);
+            self.process_waiting_registrations(now);
         }
         let limits = self.config.limits().clone();
         let times = |kind: ServerKind| match kind {
--- a/crates/sidecar/src/runtime/registration.rs
+++ b/crates/sidecar/src/runtime/registration.rs
@@ -1,4 +1,5 @@
-//! The upstream beside this sidecar: its messages, and what is remembered of it.
+//! The registration of the local upstream: its heartbeats, its departure, and its state from before
+//! a restart of the sidecar.
 
 use super::{Sidecar, WaitingRegistration, RESTORE_WAIT_MS};
 use crate::dialect::{RegistrationCall, RegistrationDialect};
@@ -9,7 +10,7 @@
 use tracing::{info, warn};
 
 impl<D: RegistrationDialect> Sidecar<D> {
-    /// Takes over what an earlier life of this sidecar knew of its upstream.
+    /// Restores the state of the upstream that an earlier run of this sidecar reported.
     pub(super) fn restore(&mut self, last: Option<NodeRecord>, now: Millis) {
         let own_service = last.filter(|last| last.service == self.settings.service);
         let Some(instance) = own_service.and_then(|last| last.instance) else {
@@ -51,7 +52,7 @@
         }
     }
 
-    pub(super) fn take_waiting_registrations(&mut self, now: Millis) {
+    pub(super) fn process_waiting_registrations(&mut self, now: Millis) {
         for waiting in std::mem::take(&mut self.waiting_registrations) {
             self.register(waiting.connection, waiting.slot, waiting.call, now);
         }
@@ -84,20 +85,20 @@
         };
         if leaving {
             let sequence = self.links.record().sequence;
-            self.registrar.wait(id, slot, sequence, now);
+            self.registrar.defer(id, slot, sequence, now);
         } else {
             self.answer(id, slot, registered(), now);
         }
     }
 
-    /// Returns whether the upstream says that it leaves.
+    /// Handles a heartbeat; returns whether the upstream announces that it is leaving.
     pub(super) fn heartbeat(
         &mut self,
         record: &InstanceRecord,
         sequence: u64,
         now: Millis,
     ) -> bool {
-        let record = &self.config.bounded_cold(record, &self.settings.service);
+        let record = &self.config.with_capped_cold_time(record, &self.settings.service);
         if self.jobs.gate.told(record, sequence, now) {
             let state = record.state.as_str();
             info!(
@@ -114,9 +115,9 @@
     pub(super) fn acknowledge(&mut self) {
         let now = self.now();
         let links = &self.links;
-        let ready = self.registrar.ready(|sequence| links.taken_by(sequence), now);
+        let ready = self.registrar.ready(|sequence| links.acknowledged_by(sequence), now);
         for pending in ready {
-            let (holders, linked) = self.links.taken_by(pending.sequence);
+            let (holders, linked) = self.links.acknowledged_by(pending.sequence);
             info!(sequence = pending.sequence, holders, linked, "end_acknowledged");
             self.answer(pending.connection, pending.slot, registered(), now);
         }
--- a/crates/sidecar/src/runtime/stopping.rs
+++ b/crates/sidecar/src/runtime/stopping.rs
@@ -1,4 +1,4 @@
-//! What the loop does while the process stops.
+//! The steps of the event loop while the process stops.
 
 use super::{Sidecar, Work};
 use crate::dialect::RegistrationDialect;
@@ -10,7 +10,7 @@
 use tracing::info;
 
 impl<D: RegistrationDialect> Sidecar<D> {
-    /// Whether the process may end: it was asked to, and what it had to finish is finished.
+    /// Whether the process may exit: it was asked to stop and has finished its work.
     pub(super) fn is_over(&mut self, stop: &StopSignal) -> bool {
         let now = self.now();
         if stop.is_set() && self.stop.begin(now) {
@@ -20,7 +20,7 @@
         if self.stop.close(self.calls.oldest_arrival(), now) {
             self.close_to_peers(now);
         }
-        let reading = self.servers.reading_calls();
+        let reading = self.servers.partial_calls();
         let in_flight = self.calls.in_flight() + self.jobs.in_flight() + reading;
         let unsent = self.net.has_unsent();
         let activity = Activity { in_flight, last_request: self.last_request, unsent };
@@ -32,26 +32,27 @@
                 self.end_calls(now);
                 false
             }
-            StopPhase::Over => self.stop.is_at_limit(now) || !self.hears_more(),
+            StopPhase::Done => self.stop.is_at_limit(now) || !self.poll_more_events(),
         }
     }
 
-    /// Looks at the sockets once more: a call that came since the last look, or on a connection that was
-    /// taken in it, must not be cut unread.
-    fn hears_more(&mut self) -> bool {
+    /// Polls the sockets once more: a call that arrived since the last poll, or on a connection
+    /// accepted in it, must not be lost unread.
+    fn poll_more_events(&mut self) -> bool {
         let events = self.net.poll(Duration::ZERO);
-        let hears = !events.is_empty();
+        let received = !events.is_empty();
         for event in events {
             self.on_event(event);
             self.do_work();
         }
-        hears
+        received
     }
 
-    /// Gives what is left its final answer, shortly before the process ends. No call waits for the
-    /// upstream beside any more (`Jobs::close` refused those), so ending one starts no other.
+    /// Gives the remaining calls their final answers shortly before the process exits. No call is
+    /// queued for the local upstream any more (`Jobs::close` refused those), so ending one does not
+    /// start another.
     fn end_calls(&mut self, now: Millis) {
-        let reading = self.servers.reading_calls();
+        let reading = self.servers.partial_calls();
         if self.calls.in_flight() == 0 && reading == 0 {
             return;
         }
@@ -63,11 +64,11 @@
             |attempt| peers.was_sent(attempt) || jobs.has_started(Source::Local(attempt));
         let actions = self.calls.end_all(was_sent, self.stop.retry_after_ms(), now);
         self.work.extend(actions.into_iter().map(Work::Call));
-        self.servers.end_reading(&mut self.net);
+        self.servers.time_out_partial_requests(&mut self.net);
         self.do_work();
     }
 
-    /// The upstream beside is out of reach from now on, until the next life is there.
+    /// Makes the local upstream unavailable to peers until this sidecar has restarted.
     fn close_to_peers(&mut self, now: Millis) {
         let (running, queued) = self.jobs.load();
         info!(in_flight = self.calls.in_flight(), running, queued, "sidecar_closing");
--- a/crates/sidecar/src/sample.rs
+++ b/crates/sidecar/src/sample.rs
@@ -1,20 +1,20 @@
-//! Which calls have every step logged, and how many lines a flood gets.
+//! Sampling of the calls that are logged in full, and a rate limit for log lines.
 
 use crate::Millis;
 
-/// A sample of calls, chosen by their id so that a chosen one is logged at every hop.
+/// A sample of calls, selected by their id so that a selected call is logged at every hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSample {
     one_of: u64,
 }
 
 impl LogSample {
-    /// One of `one_of` calls; 1 takes all.
+    /// Selects one of `one_of` calls; 1 selects all.
     pub fn new(one_of: u64) -> Self {
         LogSample { one_of: one_of.max(1) }
     }
 
-    /// Whether the call with this id is taken.
+    /// Whether the call with this id is selected.
     pub fn includes(self, id: &str) -> bool {
         u64::from(crc32fast::hash(id.as_bytes())).is_multiple_of(self.one_of)
     }
@@ -22,8 +22,8 @@
 
 const MS_PER_SECOND: Millis = 1_000;
 
-/// A few lines a second, so that each event is logged while there are few, and a flood of them takes
-/// no room from others.
+/// A limit on log lines per second: single events are all logged, and a flood of them does not
+/// crowd out other lines.
 #[derive(Clone, Copy, Debug)]
 pub struct LogRateLimit {
     lines_per_second: u32,
@@ -32,12 +32,12 @@
 }
 
 impl LogRateLimit {
-    /// Allows so many lines in each second.
+    /// Allows this many lines in each second.
     pub fn new(lines_per_second: u32) -> Self {
         LogRateLimit { lines_per_second, second: 0, used: 0 }
     }
 
-    /// Whether one more line may be written.
+    /// Whether one more line may be logged now.
     pub fn allows(&mut self, now: Millis) -> bool {
         let second = now / MS_PER_SECOND;
         if self.second != second {
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -1,5 +1,5 @@
-//! Connections on which this sidecar is asked: callers, peers, the upstream that registers, and
-//! those who look at readiness and metrics.
+//! Server connections of the sidecar: from callers, peers, the upstream that registers, and clients
+//! of the readiness and metrics endpoints.
 
 use crate::net::{ConnectionId, LinkUse, Net};
 use crate::Millis;
@@ -7,82 +7,82 @@
 use mesh::GRANT_HEADER;
 use std::collections::BTreeMap;
 
-/// Whose connection it is.
+/// Who is connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerKind {
     /// Callers on this machine.
     Caller,
-    /// Sidecars of callers.
+    /// Peers: the sidecars of remote callers.
     Peer,
-    /// The upstream on this machine, which registers.
+    /// The upstream on this machine, which registers here.
     Registration,
-    /// Readiness.
+    /// Clients of the readiness check.
     Ready,
-    /// Metrics.
+    /// Clients of the metrics endpoint.
     Metrics,
 }
 
-/// Limits in time, milliseconds.
+/// Timeouts, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerTimes {
-    /// Longest time for sending a head.
+    /// Longest time for receiving a request head.
     pub header_ms: u64,
-    /// Longest rest between requests.
+    /// Longest idle time between requests.
     pub idle_ms: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct ServedConnection {
     kind: ServerKind,
     core: ServerConnection,
-    /// The request that is being read.
+    /// The request that is being received.
     reading: Option<Reading>,
-    /// Since when nothing was asked.
-    resting_since: Millis,
+    /// Since when there has been no request.
+    idle_since: Millis,
 }
 
-/// A request that is not here whole.
+/// A request that has not arrived completely.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    /// Its place among those read on its connection.
+    /// Sequence number of the request on its connection.
     request: u64,
     since: Millis,
 }
 
-impl Held {
-    fn reads_call(&self) -> bool {
+impl ServedConnection {
+    fn has_partial_call(&self) -> bool {
         matches!(self.kind, ServerKind::Caller | ServerKind::Peer) && self.reading.is_some()
     }
 
-    /// Takes in which request is being read now. Its time begins anew with each: one that was
-    /// answered before it was whole leaves nothing of its own to the next.
+    /// Records which request is being received now. The timeout starts anew with each request: one
+    /// that was answered before it was complete does not use up the time of the next one.
     fn note_reading(&mut self, request: Option<u64>, now: Millis) {
         let same = self.reading.filter(|held| Some(held.request) == request);
         self.reading = same.or(request.map(|request| Reading { request, since: now }));
     }
 }
 
-/// All such connections.
+/// All server connections.
 #[derive(Debug, Default)]
 pub struct Servers {
-    connections: BTreeMap<ConnectionId, Held>,
+    connections: BTreeMap<ConnectionId, ServedConnection>,
 }
 
 impl Servers {
-    /// Takes in a new connection.
+    /// Adds a new connection.
     pub fn accepted(&mut self, net: &mut Net, id: ConnectionId, kind: ServerKind, now: Millis) {
         net.set_use(id, LinkUse::Answers);
         let core = ServerConnection::default();
-        let held = Held { kind, core, reading: None, resting_since: now };
+        let held = ServedConnection { kind, core, reading: None, idle_since: now };
         self.connections.insert(id, held);
     }
 
-    /// What a connection is for, if it is one of these.
+    /// The kind of a connection, if it is a server connection.
     pub fn kind(&self, id: ConnectionId) -> Option<ServerKind> {
         self.connections.get(&id).map(|held| held.kind)
     }
 
-    /// Takes whole requests out of what was received.
+    /// Takes complete requests out of the received data.
     pub fn received(
         &mut self,
         net: &mut Net,
@@ -100,19 +100,19 @@
         let requests = held.core.receive(input, limits, &mut output);
         let reading = held.core.reading(input);
         held.note_reading(reading, now);
-        held.resting_since = now;
+        held.idle_since = now;
         net.trim(id);
         if !output.is_empty() {
             net.send(id, &output);
         }
         if held.core.unanswered() == 0 && requests.is_empty() && !output.is_empty() {
-            self.finish_if_over(net, id);
+            self.finish_if_done(net, id);
         }
         requests
     }
 
-    /// A connection that was answered here, because what came could not be read, is finished.
-    fn finish_if_over(&mut self, net: &mut Net, id: ConnectionId) {
+    /// Finishes a connection whose input could not be parsed, after the error has been answered.
+    fn finish_if_done(&mut self, net: &mut Net, id: ConnectionId) {
         let over = self.connections.get(&id).is_some_and(|held| held.core.is_over());
         if over {
             self.connections.remove(&id);
@@ -125,13 +125,13 @@
         self.connections.get(&id)?.core.offer()
     }
 
-    /// Bytes of the body that is being read on a connection.
+    /// Number of bytes received of the current request body.
     pub fn body_bytes(&self, id: ConnectionId) -> u64 {
         self.connections.get(&id).map_or(0, |held| held.core.body_bytes())
     }
 
-    /// Lets the other side send so many bytes more of the body that it offered.
-    pub fn allow(&mut self, net: &mut Net, id: ConnectionId, slot: Slot, bytes: u64) {
+    /// Allows the other side to send `bytes` more bytes of an offered body.
+    pub fn grant(&mut self, net: &mut Net, id: ConnectionId, slot: Slot, bytes: u64) {
         let Some(held) = self.connections.get_mut(&id) else {
             return;
         };
@@ -140,8 +140,8 @@
         net.send(id, &output);
     }
 
-    /// Answers a request; `close` ends the connection after it. Requests that were held back
-    /// behind it are returned.
+    /// Answers a request; `close` ends the connection after it. Requests that were held back behind
+    /// it are returned by the next call of [`Servers::received`].
     pub fn answer(
         &mut self,
         net: &mut Net,
@@ -156,7 +156,7 @@
         };
         let mut output = Vec::new();
         let over = held.core.answer(slot, response, close, &mut output);
-        held.resting_since = now;
+        held.idle_since = now;
         net.send(id, &output);
         if over {
             self.connections.remove(&id);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The other side ended a connection; true if it was one of these.
+    /// Removes a connection that the other side ended; returns true if it was a server connection.
     pub fn ended(&mut self, net: &mut Net, id: ConnectionId) -> bool {
         let held = self.connections.remove(&id);
         if held.is_some() {
@@ -173,7 +173,7 @@
         held.is_some()
     }
 
-    /// Ends what is read too slowly or rested too long.
+    /// Ends connections that are too slow or have been idle for too long.
     pub fn tick(&mut self, net: &mut Net, times: impl Fn(ServerKind) -> ServerTimes, now: Millis) {
         let mut slow = Vec::new();
         let mut idle = Vec::new();
@@ -186,7 +186,7 @@
                 slow.push(*id);
             } else if unanswered == 0
                 && held.reading.is_none()
-                && held.resting_since + limits.idle_ms <= now
+                && held.idle_since + limits.idle_ms <= now
             {
                 idle.push(*id);
             }
@@ -200,21 +200,21 @@
         }
     }
 
-    /// Calls of callers and peers that are not here whole.
-    pub fn reading_calls(&self) -> usize {
-        self.connections.values().filter(|held| held.reads_call()).count()
+    /// Number of calls from callers and peers that have not arrived completely.
+    pub fn partial_calls(&self) -> usize {
+        self.connections.values().filter(|held| held.has_partial_call()).count()
     }
 
-    /// Answers the calls of callers and peers that are not here whole.
-    pub fn end_reading(&mut self, net: &mut Net) {
-        let found = self.connections.iter().filter(|(_, held)| held.reads_call());
+    /// Answers the calls from callers and peers that have not arrived completely.
+    pub fn time_out_partial_requests(&mut self, net: &mut Net) {
+        let found = self.connections.iter().filter(|(_, held)| held.has_partial_call());
         let ids: Vec<ConnectionId> = found.map(|(id, _)| *id).collect();
         for id in ids {
             self.time_out(net, id);
         }
     }
 
-    /// Answers a request that is not here whole with 408; nothing more is read.
+    /// Answers a request that has not arrived completely with status 408; nothing more is read.
     fn time_out(&mut self, net: &mut Net, id: ConnectionId) {
         let Some(held) = self.connections.get_mut(&id) else {
             return;
--- a/crates/sidecar/src/stop.rs
+++ b/crates/sidecar/src/stop.rs
@@ -1,66 +1,68 @@
-//! The planned stop, as a plan in time; pure.
+//! The phases of a planned stop, computed from the time without I/O.
 //!
-//! Callers notice a stop only after two looks at the readiness, and some have nowhere else to go.
-//! So for a while everything is served as before, peers' calls to the upstream beside included.
-//! Then the calls that came in that time are finished, which may take long. The upstream beside is
-//! still of use to peers meanwhile, and new calls are taken in if their own deadline is sure to end
-//! them in time. Once the old calls are done, peers are told and new calls are refused with a
-//! promise; the process ends as soon as none is left. Shortly before its limit it gives every call
-//! that is left its final answer: none is cut without one.
+//! Callers notice a stop only after two readiness checks, and some have no alternative. Therefore
+//! all calls are first served as before, including peers' calls to the local upstream. Then the
+//! calls that arrived in that time are completed, which may take long. In the meantime the local
+//! upstream remains available to peers, and a new call is accepted if its own deadline ensures that
+//! it ends in time. Once the old calls are done, peers are told, and new calls are refused with the
+//! assurance that they have not run; the process exits as soon as no call is left. Shortly before
+//! the time limit, every remaining call gets its final answer, so that none is cut off without one.
 
 use crate::Millis;
 
-/// How long all new calls are still served: requests sent this early must not be cut off.
+/// How long all new calls are still served, in milliseconds: requests sent this early must not be
+/// cut off.
 const SERVING_MS: u64 = 2_300;
-/// Part of the limit after which peers are told in any case: what they sent until then has the
-/// rest, some times as long as calls usually take.
-const CLOSING_PART: f64 = 0.55;
-/// After peers are told, calls of so short a deadline are still taken in for as long: jobs that run
-/// ask for them, and fail without, milliseconds.
-const INNER_MS: u64 = 1_300;
-/// Callers that look at the readiness go elsewhere within this time.
+/// Fraction of the time limit after which peers are told in any case. The rest is left for the
+/// calls that they sent until then: a few times the usual duration of a call.
+const CLOSE_FRACTION: f64 = 0.55;
+/// After peers are told, calls with a deadline of at most this much are still accepted for this
+/// long, in milliseconds: running jobs make such calls and would fail without them.
+const NESTED_CALL_MS: u64 = 1_300;
+/// Callers that check the readiness use another sidecar after this time, in milliseconds.
 const NOTICE_MS: u64 = 2_200;
-/// Without a request for this long, all callers have gone.
+/// All callers are assumed to have left when no request has arrived for this long, in milliseconds.
 const QUIET_MS: u64 = 400;
-/// Part of the limit, at its end, in which calls that are left get their final answer: upstreams
-/// that are still at work then would not be done in time.
-const ENDING_PART: u64 = 12;
-/// Longest and shortest such time, milliseconds: answers must still go out in it.
+/// The last part of the limit, one divided by this, is used to give the remaining calls their final
+/// answers: upstreams still running them would not finish in time.
+const ENDING_DIVISOR: u64 = 12;
+/// Shortest and longest duration of that part, in milliseconds: the answers must still be sent in
+/// it.
 const ENDING_MS: std::ops::RangeInclusive<u64> = 100..=500;
-/// Part of that time that is left for the process to end.
-const LEAVING_PART: u64 = 2;
-/// When a caller that was refused should come back: about when the next life is ready, ms.
-const RETURN_MS: u64 = 1_500;
+/// The last part of that time, one divided by this, is left for the process to exit.
+const EXIT_DIVISOR: u64 = 2;
+/// When a refused caller should retry, in milliseconds: about when the restarted process is ready.
+const RETRY_AFTER_MS: u64 = 1_500;
 
-/// How far a stop is.
+/// Phase of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopPhase {
-    /// Not asked to stop.
+    /// No stop was requested.
     Running,
     /// New calls are served.
     Serving,
-    /// Calls of the time before are finished; peers are served.
+    /// Calls that arrived during the serving phase are completed; peers are still served.
     Finishing,
-    /// Peers were told; what is left is finished.
+    /// Peers were told; the remaining calls are completed.
     Closed,
-    /// Calls that are left get their final answer, which goes out.
+    /// The remaining calls get their final answers, which are being sent.
     Ending,
-    /// The process ends.
-    Over,
+    /// The process exits.
+    Done,
 }
 
-/// What the phase depends on.
+/// The activity that the phase depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Activity {
-    /// Calls and jobs without an end.
+    /// Number of unfinished calls and jobs.
     pub in_flight: usize,
-    /// When the last request came.
+    /// When the last request arrived.
     pub last_request: Millis,
-    /// Whether answers are not out yet.
+    /// Whether answers have not been sent completely.
     pub unsent: bool,
 }
 
-/// The plan of one process.
+/// The planned stop of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
     limit_ms: u64,
@@ -69,24 +71,24 @@
 }
 
 impl StopPlan {
-    /// A process that must end within `limit_ms` once it is asked to.
+    /// Creates the plan of a process that must exit within `limit_ms` after a stop is requested.
     pub fn new(limit_ms: u64) -> Self {
         StopPlan { limit_ms, since: None, closed_at: None }
     }
 
-    /// The process was asked to stop; true the first time.
+    /// Records the request to stop; returns true the first time.
     pub fn begin(&mut self, now: Millis) -> bool {
         let first = self.since.is_none();
         self.since.get_or_insert(now);
         first
     }
 
-    /// Whether it was asked to stop.
+    /// Whether a stop was requested.
     pub fn has_begun(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether a new call with so much time left is taken in now.
+    /// Whether a new call with `left_ms` until its deadline is accepted now.
     pub fn accepts(&self, left_ms: u64, now: Millis) -> bool {
         let Some(since) = self.since else {
             return true;
@@ -95,19 +97,19 @@
         let ends_by_itself = ends_at <= since + self.limit_ms;
         match self.closed_at {
             None => now < self.served_until(since) || ends_by_itself,
-            Some(at) => ends_by_itself && left_ms <= INNER_MS && now < at + INNER_MS,
+            Some(at) => ends_by_itself && left_ms <= NESTED_CALL_MS && now < at + NESTED_CALL_MS,
         }
     }
 
-    /// Takes down that peers are told, if that is due; true if it is. `oldest_call` is when the
-    /// oldest call without an end came.
+    /// Closes the sidecar to peers if that is due, and returns true if so. `oldest_call` is the
+    /// arrival time of the oldest unfinished call.
     pub fn close(&mut self, oldest_call: Option<Millis>, now: Millis) -> bool {
         let Some(since) = self.since.filter(|_| self.closed_at.is_none()) else {
             return false;
         };
         let served_until = self.served_until(since);
         let finished = oldest_call.is_none_or(|at| at >= served_until);
-        let latest = since + (self.limit_ms as f64 * CLOSING_PART) as u64;
+        let latest = since + (self.limit_ms as f64 * CLOSE_FRACTION) as u64;
         let due = now >= served_until && (finished || now >= latest);
         if due {
             self.closed_at = Some(now);
@@ -120,21 +122,21 @@
     }
 
     fn ending_ms(&self) -> u64 {
-        (self.limit_ms / ENDING_PART).clamp(*ENDING_MS.start(), *ENDING_MS.end())
+        (self.limit_ms / ENDING_DIVISOR).clamp(*ENDING_MS.start(), *ENDING_MS.end())
     }
 
-    /// When a refused caller should come back, milliseconds from now.
+    /// When a refused caller should retry, in milliseconds from now.
     pub fn retry_after_ms(&self) -> u64 {
-        RETURN_MS
+        RETRY_AFTER_MS
     }
 
-    /// Whether the process must end, whatever is left.
+    /// Whether the process must exit regardless of what is left.
     pub fn is_at_limit(&self, now: Millis) -> bool {
-        let ending_ms = self.ending_ms() / LEAVING_PART;
+        let ending_ms = self.ending_ms() / EXIT_DIVISOR;
         self.since.is_some_and(|since| now + ending_ms >= since + self.limit_ms)
     }
 
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self, activity: Activity, now: Millis) -> StopPhase {
         let Some(since) = self.since else {
             return StopPhase::Running;
@@ -142,16 +144,16 @@
         let limit = since + self.limit_ms;
         let ending_ms = self.ending_ms();
         if self.is_at_limit(now) {
-            return StopPhase::Over;
+            return StopPhase::Done;
         }
         if now + ending_ms >= limit {
             let answered = activity.in_flight == 0 && !activity.unsent;
-            return if answered { StopPhase::Over } else { StopPhase::Ending };
+            return if answered { StopPhase::Done } else { StopPhase::Ending };
         }
         let quiet = now >= activity.last_request + QUIET_MS && now >= since + NOTICE_MS;
         let closed = self.closed_at.is_some();
         if activity.in_flight == 0 && !activity.unsent && (quiet || closed) {
-            return StopPhase::Over;
+            return StopPhase::Done;
         }
         match closed {
             true => StopPhase::Closed,
