--- a/crates/sidecar/src/transit.rs
+++ b/crates/sidecar/src/transit.rs
@@ -1,52 +1,59 @@
-//! How long the calls of peers waited on their way, reckoned without a common clock.
+//! Estimates how long the calls of peers waited on their way, without synchronised clocks.
 //!
-//! A sender stamps each call with its own clock. The least difference between that stamp and the
-//! arrival that was seen of late stands for the two clocks and the bare way; what a call's difference
-//! has beyond it, the call spent in queues of links (the base delay of LEDBAT, RFC 6817).
+//! Each sender stamps its calls with its own clock. The minimum recent difference between the stamp
+//! and the time of arrival represents the offset of the two clocks plus the transit time of an
+//! empty network; whatever the difference of a call exceeds it by was spent in link queues (the
+//! base delay of LEDBAT, RFC 6817).
 
 use crate::Millis;
 use mesh::Departure;
 use std::collections::BTreeMap;
 
-/// The least difference is that of the running window and the one before it, so that clocks may
-/// drift apart, milliseconds. Queues that last longer than two windows would hide.
+/// The minimum is taken over the current window and the previous one, in milliseconds, so that it
+/// follows clock drift. A queue that persists for more than two windows would go unnoticed.
 const WINDOW_MS: Millis = 60_000;
-/// Clocks remembered; beyond that, the one whose window began first is forgotten.
-const MOST_CLOCKS: usize = 4_096;
+/// Limit on the number of clocks; beyond it, the one with the oldest window is dropped.
+const MAX_CLOCKS: usize = 4_096;
 
-/// Differences between one sender's clock and this one's, milliseconds.
+/// Minimum differences between the clock of one sender and the local one, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct Base {
-    least: i64,
-    least_before: i64,
-    window_began: Millis,
+struct ClockOffset {
+    minimum: i64,
+    previous_minimum: i64,
+    window_start: Millis,
 }
 
-/// The clocks of all senders.
+/// The clock offsets of all senders.
 #[derive(Clone, Debug, Default)]
 pub struct TransitTimes {
-    clocks: BTreeMap<u32, Base>,
+    clocks: BTreeMap<u32, ClockOffset>,
 }
 
 impl TransitTimes {
-    /// How long a call that arrives now waited on its way, milliseconds; 0 for the first of a clock.
+    /// How long a call that arrives now waited on its way, in milliseconds; 0 for the first call of
+    /// a clock.
     pub fn waited_ms(&mut self, departure: Departure, now: Millis) -> u64 {
         let difference = now as i64 - departure.at_ms as i64;
         self.make_room(departure.clock);
-        let first = Base { least: difference, least_before: difference, window_began: now };
-        let base = self.clocks.entry(departure.clock).or_insert(first);
-        if now >= base.window_began + WINDOW_MS {
-            *base = Base { least: difference, least_before: base.least, window_began: now };
+        let first =
+            ClockOffset { minimum: difference, previous_minimum: difference, window_start: now };
+        let offset = self.clocks.entry(departure.clock).or_insert(first);
+        if now >= offset.window_start + WINDOW_MS {
+            *offset = ClockOffset {
+                minimum: difference,
+                previous_minimum: offset.minimum,
+                window_start: now,
+            };
         }
-        base.least = base.least.min(difference);
-        (difference - base.least.min(base.least_before)) as u64
+        offset.minimum = offset.minimum.min(difference);
+        (difference - offset.minimum.min(offset.previous_minimum)) as u64
     }
 
     fn make_room(&mut self, clock: u32) {
-        if self.clocks.len() < MOST_CLOCKS || self.clocks.contains_key(&clock) {
+        if self.clocks.len() < MAX_CLOCKS || self.clocks.contains_key(&clock) {
             return;
         }
-        let oldest = self.clocks.iter().min_by_key(|(_, base)| base.window_began);
+        let oldest = self.clocks.iter().min_by_key(|(_, offset)| offset.window_start);
         if let Some(oldest) = oldest.map(|(clock, _)| *clock) {
             self.clocks.remove(&oldest);
         }
--- a/crates/sidecar/tests/egress.rs
+++ b/crates/sidecar/tests/egress.rs
@@ -277,7 +277,7 @@
     assert!(reply.link_full);
     assert_eq!((reply.egress_wait_ms, reply.egress_bytes_per_ms), (270, 2_000));
     assert!((50..=200).contains(&reply.retry_after_ms), "{}", reply.retry_after_ms);
-    assert_eq!(jobs.told_load(1_000).egress_wait_ms, 270);
+    assert_eq!(jobs.load_report(1_000).egress_wait_ms, 270);
     assert_eq!(jobs.link_refusals(), 2);
 }
 
@@ -308,7 +308,7 @@
         jobs.cancel(peer(slot), 1_010);
     }
     jobs.connection_ended(ConnectionId::for_tests(1), 1_020);
-    assert_eq!(jobs.told_load(1_000).egress_wait_ms, 0);
+    assert_eq!(jobs.load_report(1_000).egress_wait_ms, 0);
     assert!(run(&begin(&mut jobs, peer(7), &hop(), 1_030)).is_some());
 }
 
@@ -318,5 +318,5 @@
     for slot in 1..=u64::from(SLOTS) {
         assert!(run(&begin(&mut jobs, peer(slot), &hop(), 1_000)).is_some(), "{slot}");
     }
-    assert_eq!(jobs.told_load(1_000).egress_wait_ms, 0);
+    assert_eq!(jobs.load_report(1_000).egress_wait_ms, 0);
 }
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -377,7 +377,7 @@
     // The second is cut, and its slot given to a third; the upstream works on all three.
     jobs.cancel(source(2), 10);
     assert!(started(&begin(&mut jobs, 3, 10)).is_some());
-    jobs.note_told(told(2, 1, None), 20);
+    jobs.note_load_report(told(2, 1, None), 20);
     let answer = Answer { response: sealed(200), reusable: true };
     let actions = jobs.ended(first, UpstreamEnd::Answered(answer), 20);
     let reply = actions.iter().find_map(|action| match action {
@@ -395,14 +395,14 @@
     let mut jobs = jobs();
     let mut seen = Vec::new();
     for pace in [None, Some(120), Some(0), Some(u32::MAX), Some(300)] {
-        jobs.note_told(told(0, 0, pace), 0);
-        seen.push(jobs.told_load(0).pace_percent);
+        jobs.note_load_report(told(0, 0, pace), 0);
+        seen.push(jobs.load_report(0).pace_percent);
     }
     assert_eq!(seen, [0, 120, 120, 120, 300]);
     // Another incarnation is another upstream.
     jobs.gate.told(&record("i-2", InstanceState::Ready), 2, 100);
     jobs.refresh_limit(0);
-    assert_eq!(jobs.told_load(100).pace_percent, 0);
+    assert_eq!(jobs.load_report(100).pace_percent, 0);
 }
 
 #[test]
--- a/crates/sidecar/tests/link_meter.rs
+++ b/crates/sidecar/tests/link_meter.rs
@@ -1,7 +1,7 @@
 //! How much of a machine's link is in use.
 
 use expect_test::expect;
-use sidecar::{LinkChange, LinkMeter, LinkWatch};
+use sidecar::{LinkChange, LinkFullDetector, LinkMeter};
 use std::fmt::Write;
 
 /// A second of so many bytes each ten milliseconds, then half a second of rest, on a link of 3.2
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_full_link_is_told_once_and_its_end_once() {
-    let mut watch = LinkWatch::default();
+    let mut watch = LinkFullDetector::default();
     let waits = [0, 199, 200, 900, 39, 41, 250, 50, 10, 10];
     let told: Vec<Option<LinkChange>> =
         waits.iter().zip(0..).map(|(wait_ms, turn)| watch.note(*wait_ms, turn * 100)).collect();
--- a/crates/sidecar/tests/links.rs
+++ b/crates/sidecar/tests/links.rs
@@ -115,10 +115,10 @@
 }
 
 /// How long a coordinator of the own zone is waited for.
-const NEAR_WAIT_MS: u64 = 150;
+const OWN_ZONE_WAIT_MS: u64 = 150;
 
 /// The same after all coordinators were lost.
-const RETURN_WAIT_MS: u64 = 1_000;
+const RECONNECT_WAIT_MS: u64 = 1_000;
 
 /// The links of one sidecar with their coordinators; the clock stands unless a test moves it.
 struct World {
@@ -178,7 +178,7 @@
     let mut world = World::linked(&[2, 3]);
     world.coordinators[0].welcome("zone-b");
     world.until(|world| world.links.is_welcomed());
-    world.now += NEAR_WAIT_MS;
+    world.now += OWN_ZONE_WAIT_MS;
     world.until(|world| world.coordinators[0].subscribed() == Some(true));
     world.coordinators[0].list(true, &[11, 12]);
     world.until(|world| world.is_listed(11) && world.is_listed(12));
@@ -223,7 +223,7 @@
     world.until(|world| world.coordinators[0].subscribed() == Some(true));
     world.coordinators[0].list(true, &[11]);
     world.until(|world| world.is_listed(11));
-    world.now += RETURN_WAIT_MS;
+    world.now += RECONNECT_WAIT_MS;
     world.coordinators.remove(0);
     world.until(|world| world.coordinators[0].subscribed() == Some(true));
     assert!(world.is_listed(11));
@@ -244,7 +244,7 @@
     for _ in 0..20 {
         world.turn();
     }
-    world.links.want_config(&mut world.net, 0, held, world.now);
+    world.links.request_config(&mut world.net, 0, held, world.now);
     world.until(|world| world.coordinators.iter().any(Coordinator::asked_for_config));
     let asked: Vec<bool> = world.coordinators.iter().map(Coordinator::asked_for_config).collect();
     assert_eq!(asked, [false, true, false]);
@@ -263,18 +263,18 @@
     world.coordinators[0].welcome("zone-b");
     world.coordinators[0].send(&ToSidecar::Announce { generation: 3 });
     world.until(|world| world.links.announced() == 3);
-    world.links.want_config(&mut world.net, 0, held, world.now);
+    world.links.request_config(&mut world.net, 0, held, world.now);
     world.coordinators[1].welcome(OWN_ZONE);
     world.until(|world| world.coordinators[1].subscribed() == Some(true));
     // It has not heard of the generation yet: it is waited for, but not for long.
-    world.links.want_config(&mut world.net, 0, held, world.now + NEAR_WAIT_MS - 1);
+    world.links.request_config(&mut world.net, 0, held, world.now + OWN_ZONE_WAIT_MS - 1);
     for _ in 0..20 {
         world.turn();
     }
     assert!(!world.coordinators.iter().any(Coordinator::asked_for_config));
     assert_eq!(world.coordinators[0].subscribed(), None);
-    world.now += NEAR_WAIT_MS;
-    world.links.want_config(&mut world.net, 0, held, world.now);
+    world.now += OWN_ZONE_WAIT_MS;
+    world.links.request_config(&mut world.net, 0, held, world.now);
     world.until(|world| world.coordinators[0].asked_for_config());
 }
 
@@ -282,10 +282,10 @@
 fn content_is_asked_for_before_it_is_announced() {
     let mut world = World::linked(&[2, 3]);
     let held = Bundle::from_objects(Vec::new()).digest();
-    assert!(!world.links.want_first_config(&mut world.net, held, world.now), "none is linked");
+    assert!(!world.links.request_first_config(&mut world.net, held, world.now), "none is linked");
     world.coordinators[1].welcome(OWN_ZONE);
     world.until(|world| world.links.is_welcomed());
-    assert!(world.links.want_first_config(&mut world.net, held, world.now));
+    assert!(world.links.request_first_config(&mut world.net, held, world.now));
     world.until(|world| world.coordinators[1].asked_for_config());
     let update = best_update(None, &Bundle::from_objects(Vec::new()));
     world.coordinators[1].send(&ToSidecar::Config { generation: 2, confirmed: false, update });
@@ -295,7 +295,7 @@
     world.coordinators[1].heard.clear();
     world.coordinators[1].send(&ToSidecar::Announce { generation: 3 });
     world.until(|world| world.links.announced() == 3);
-    world.links.want_config(&mut world.net, 0, held, world.now);
+    world.links.request_config(&mut world.net, 0, held, world.now);
     world.until(|world| world.coordinators[1].asked_for_config());
 }
 
@@ -310,7 +310,7 @@
     for coordinator in &mut world.coordinators {
         coordinator.restart();
     }
-    world.until(|world| world.links.taken_by(0).1 == 0);
+    world.until(|world| world.links.acknowledged_by(0).1 == 0);
     for _ in 0..20 {
         world.turn();
     }
@@ -321,13 +321,13 @@
         world.turn();
     }
     assert_eq!(world.coordinators[0].subscribed(), None);
-    world.now += NEAR_WAIT_MS;
+    world.now += OWN_ZONE_WAIT_MS;
     for _ in 0..20 {
         world.turn();
     }
     assert_eq!(world.coordinators[0].subscribed(), None, "a list still counts");
     assert!(world.is_listed(11));
-    world.now += RETURN_WAIT_MS;
+    world.now += RECONNECT_WAIT_MS;
     world.coordinators[0].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
     world.until(|world| world.coordinators[0].subscribed() == Some(true));
 }
--- a/crates/sidecar/tests/stop.rs
+++ b/crates/sidecar/tests/stop.rs
@@ -42,18 +42,18 @@
         (false, 0, 0, 0, StopPhase::Serving),
         (false, 2_000, 0, 0, StopPhase::Serving),
         (false, 2_250, 0, 2_200, StopPhase::Serving),
-        (false, 2_250, 0, 1_000, StopPhase::Over),
+        (false, 2_250, 0, 1_000, StopPhase::Done),
         (false, 2_250, 3, 1_000, StopPhase::Serving),
         (false, 2_700, 3, 2_700, StopPhase::Finishing),
         (true, 2_700, 3, 2_700, StopPhase::Closed),
         // Callers that have nowhere else to go never become quiet.
-        (true, 2_700, 0, 2_700, StopPhase::Over),
+        (true, 2_700, 0, 2_700, StopPhase::Done),
         (true, 5_000, 1, 5_000, StopPhase::Closed),
         // Nothing is cut: what is left gets its answer first.
         (true, 5_500, 1, 5_500, StopPhase::Ending),
         (false, 5_500, 1, 5_500, StopPhase::Ending),
-        (true, 5_500, 0, 5_500, StopPhase::Over),
-        (true, 5_900, 1, 5_500, StopPhase::Over),
+        (true, 5_500, 0, 5_500, StopPhase::Done),
+        (true, 5_900, 1, 5_500, StopPhase::Done),
     ];
     for (closed, after, in_flight, last, expected) in rows {
         let found = phase(closed, after, in_flight, last);
@@ -117,7 +117,7 @@
     assert_eq!(plan.phase(unsent, BEGUN + 2_700), StopPhase::Closed);
     assert_eq!(plan.phase(unsent, BEGUN + 5_550), StopPhase::Ending);
     let out = Activity { unsent: false, ..unsent };
-    assert_eq!(plan.phase(out, BEGUN + 5_550), StopPhase::Over);
+    assert_eq!(plan.phase(out, BEGUN + 5_550), StopPhase::Done);
 }
 
 #[test]
@@ -127,7 +127,7 @@
         plan.begin(BEGUN);
         let activity = Activity { in_flight: 1, last_request: BEGUN, unsent: false };
         let ends = (0..limit_ms).find(|after| {
-            matches!(plan.phase(activity, BEGUN + after), StopPhase::Ending | StopPhase::Over)
+            matches!(plan.phase(activity, BEGUN + after), StopPhase::Ending | StopPhase::Done)
         });
         assert!(ends.is_some_and(|after| after >= limit_ms * 5 / 6), "{limit_ms}: {ends:?}");
     }
