--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sidecar's outbound side without sockets.
+//! The outbound side of a sidecar without sockets.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -32,8 +32,8 @@
 pub const TIMEOUT_MS: u64 = 2_000;
 pub const TARGET_MS: u32 = 600;
 const INNER_TARGET_MS: u32 = 100;
-/// When a world is looked at first: long after it heard of its nodes, so that it has its share of
-/// what the fleet may repeat.
+/// Time at which the tests start: long after the nodes became known, so that the sidecar has its
+/// share of the fleet's retry budget.
 pub const START_MS: u64 = 30_000;
 const NODES_KNOWN_MS: u64 = 10_000;
 
@@ -85,12 +85,12 @@
 
 impl World {
     pub fn unconfigured() -> Self {
-        World::of_bounds(BudgetBounds { ratio: 0.2, slack: 60.0, window_ms: 10_000 })
+        World::from_bounds(BudgetBounds { ratio: 0.2, slack: 60.0, window_ms: 10_000 })
     }
 
-    /// Three upstreams and another bound on repeats.
+    /// Three upstreams and the given retry budget.
     pub fn with_bounds(ratio: f64, slack: f64) -> Self {
-        let mut world = World::of_bounds(BudgetBounds { ratio, slack, window_ms: 10_000 });
+        let mut world = World::from_bounds(BudgetBounds { ratio, slack, window_ms: 10_000 });
         world.configure();
         for host in 1..=3 {
             world.add_upstream(host);
@@ -99,7 +99,7 @@
         world
     }
 
-    fn of_bounds(bounds: BudgetBounds) -> Self {
+    fn from_bounds(bounds: BudgetBounds) -> Self {
         let own = NodeAddress { ip: Ipv4Addr::new(10, 0, 0, 200), port: 8_300 };
         let locality = Locality::new(own, "zone-a");
         let registry = Registry::default();
@@ -124,7 +124,7 @@
         self.confirm(1);
     }
 
-    /// A coordinator says which generation is the newest.
+    /// A coordinator reports the newest generation.
     pub fn confirm(&mut self, generation: u64) {
         self.config.freshness.note(self.now, generation);
     }
@@ -171,8 +171,8 @@
         self.begin_request(HOST, "GET", path, more)
     }
 
-    /// A call that a run of the upstream beside waits for.
-    pub fn begin_begun(&mut self, path: &str) -> Vec<CallAction> {
+    /// A call made by a running job of the local upstream.
+    pub fn begin_nested(&mut self, path: &str) -> Vec<CallAction> {
         self.begin_request_of(Lineage::BegunWork, HOST, "GET", path, &[])
     }
 
@@ -246,11 +246,11 @@
     Some((seconds * 1_000.0) as u64)
 }
 
-/// The upstream takes connections, as it shows at both looks.
+/// The upstream accepts connections at both probes.
 pub fn found_alive(jobs: &mut Jobs, now: u64) -> Vec<JobAction> {
-    assert!(jobs.probed(true, now).is_empty(), "it may end bit by bit");
-    let looked = jobs.tick(now + 5);
-    assert!(matches!(looked[..], [JobAction::Probe { again: true }]), "{looked:?}");
+    assert!(jobs.probed(true, now).is_empty(), "one successful probe is not enough");
+    let actions = jobs.tick(now + 5);
+    assert!(matches!(actions[..], [JobAction::Probe { again: true }]), "{actions:?}");
     jobs.probed(true, now + 5)
 }
 
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -1,5 +1,5 @@
-//! How a sidecar tells the end of its upstream from a lost answer, and what it does with requests
-//! that may have caused it.
+//! How a sidecar distinguishes a crash of its upstream from a lost answer, and how it treats
+//! requests that may have caused a crash.
 
 mod common;
 
@@ -33,16 +33,16 @@
     let metrics = JobMetrics::new(&Registry::default());
     let jobs = Jobs::new(NAMES, SERVICE, 2_000, None, LogSample::new(1), metrics);
     let mut node = Node { jobs: jobs.with_poison_watch(watch.clone()), watch };
-    node.starts(id, 1);
+    node.start(id, 1);
     node
 }
 
 impl Node {
-    fn starts(&mut self, id: &str, sequence: u64) {
-        self.starts_at(id, 0, sequence);
+    fn start(&mut self, id: &str, sequence: u64) {
+        self.start_at(id, 0, sequence);
     }
 
-    fn starts_at(&mut self, id: &str, born_ms: u64, sequence: u64) {
+    fn start_at(&mut self, id: &str, born_ms: u64, sequence: u64) {
         let record = InstanceRecord {
             id: id.to_owned(),
             state: InstanceState::Ready,
@@ -79,7 +79,7 @@
         self.jobs.begin(source, Rc::new(request), &hop, now)
     }
 
-    /// Begins a call that must run.
+    /// Begins a call that must start at once.
     fn run(&mut self, slot: u64, path: &str, now: u64) -> u64 {
         let actions = self.begin(slot, path, false, now);
         let [JobAction::Run { job, .. }] = actions[..] else { panic!("{actions:?}") };
@@ -92,20 +92,20 @@
         self.jobs.ended(job, end, now);
     }
 
-    fn lose(&mut self, job: u64, now: u64) -> Vec<JobAction> {
+    fn lose_answer(&mut self, job: u64, now: u64) -> Vec<JobAction> {
         self.jobs.ended(job, UpstreamEnd::Failed(ExchangeError::NoAnswer), now)
     }
 
-    /// All runs end without an answer, and no connection is taken.
+    /// All jobs end without an answer, and the probe is refused.
     fn crash(&mut self, jobs: &[u64], now: u64) -> Vec<HopReply> {
         for job in jobs {
-            self.lose(*job, now);
+            self.lose_answer(*job, now);
         }
         replies(&self.jobs.probed(false, now))
     }
 }
 
-/// Name of a request that upstreams are sent without a host.
+/// Fingerprint of a request sent without a host header.
 fn fingerprint(target: &str) -> Fingerprint {
     let (service, method, host, body) = (SERVICE, "GET", "", &b""[..]);
     quarantine::RequestIdentity { service, method, target, host, body }.fingerprint()
@@ -131,8 +131,8 @@
 fn one_lost_answer_is_no_crash() {
     let mut node = node("i-1");
     let (first, _second) = (node.run(1, "/a", 0), node.run(2, "/b", 0));
-    let actions = node.lose(first, 50);
-    assert!(matches!(actions[..], [JobAction::Probe { again: false }]), "nobody is told yet");
+    let actions = node.lose_answer(first, 50);
+    assert!(matches!(actions[..], [JobAction::Probe { again: false }]), "no reply is sent yet");
     let told = replies(&found_alive(&mut node.jobs, 52));
     assert_eq!(told.len(), 1);
     assert!(told[0].outcome == HopOutcome::Unknown && !told[0].upstream_ended);
@@ -144,7 +144,7 @@
 fn a_connection_that_is_neither_taken_nor_refused_tells_nothing() {
     let mut node = node("i-1");
     let job = node.run(1, "/a", 0);
-    node.lose(job, 50);
+    node.lose_answer(job, 50);
     assert_eq!(node.jobs.next_tick(60), Some(150));
     assert!(node.jobs.tick(149).is_empty());
     let told = replies(&node.jobs.tick(150));
@@ -156,19 +156,19 @@
 fn the_end_of_an_upstream_is_told_once_with_all_that_ran() {
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0), node.run(3, "/c", 0)];
-    node.lose(jobs[0], 50);
-    assert!(node.lose(jobs[1], 50).is_empty(), "one connection is tried for all");
+    node.lose_answer(jobs[0], 50);
+    assert!(node.lose_answer(jobs[1], 50).is_empty(), "one probe serves all lost answers");
     let told = replies(&node.jobs.probed(false, 52));
     assert!(told.len() == 2 && told.iter().all(|reply| reply.upstream_ended));
-    let last = replies(&node.lose(jobs[2], 53));
-    assert!(last.len() == 1 && last[0].upstream_ended, "it is known by now");
+    let last = replies(&node.lose_answer(jobs[2], 53));
+    assert!(last.len() == 1 && last[0].upstream_ended, "the crash is already known");
     let reports = crashes(node.watch.take_untold());
     assert_eq!(reports.len(), 1);
     assert_eq!((reports[0].instance.as_str(), reports[0].running.len()), ("i-1", 3));
-    // The next incarnation is another one.
-    node.starts("i-2", 2);
+    // The next incarnation is not affected.
+    node.start("i-2", 2);
     let job = node.run(4, "/d", 100);
-    assert!(matches!(node.lose(job, 120)[..], [JobAction::Probe { again: false }]));
+    assert!(matches!(node.lose_answer(job, 120)[..], [JobAction::Probe { again: false }]));
 }
 
 #[test]
@@ -179,10 +179,10 @@
     let jobs = [node.run(2, "/popular", 50), node.run(3, "/rare", 50)];
     node.crash(&jobs, 90);
     assert_eq!(crashes(node.watch.take_untold())[0].running.len(), 1);
-    node.starts("i-2", 2);
+    node.start("i-2", 2);
     let again = node.run(4, "/popular", 100);
     node.crash(&[again], 120);
-    assert!(node.watch.take_untold().is_empty(), "there is nobody to suspect");
+    assert!(node.watch.take_untold().is_empty(), "no request is suspected");
 }
 
 #[test]
@@ -190,11 +190,11 @@
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0)];
     node.crash(&jobs, 50);
-    node.starts("i-2", 2);
+    node.start("i-2", 2);
     let first = node.run(3, "/a", 100);
     let refused = replies(&node.begin(4, "/b", false, 110));
     assert_eq!(refused[0].outcome, HopOutcome::Refused);
-    // Known to its sender only: another upstream ended under it.
+    // Only the sender knows about this suspect: another upstream crashed while running it.
     assert_eq!(replies(&node.begin(5, "/x", true, 110))[0].outcome, HopOutcome::Refused);
     node.run(6, "/c", 110);
     node.answer(first, 150);
@@ -207,10 +207,10 @@
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/poison", 0)];
     node.crash(&jobs, 50);
-    node.starts("i-2", 2);
+    node.start("i-2", 2);
     let jobs = [node.run(3, "/poison", 100), node.run(4, "/b", 100)];
     node.crash(&jobs, 150);
-    node.starts("i-3", 3);
+    node.start("i-3", 3);
     assert_eq!(node.watch.counts(160), (1, 0));
     assert_eq!(replies(&node.begin(5, "/poison", false, 200))[0].outcome, HopOutcome::Refused);
     for (slot, path) in [(6, "/a"), (7, "/b"), (8, "/c")] {
@@ -268,9 +268,9 @@
     assert!(hop_of(&world.begin("GET", "/safe/maybe")).is_some_and(|hop| hop.suspect));
     let actions = world.begin("GET", "/safe/x");
     assert!(hop_of(&actions).is_some_and(|hop| !hop.suspect));
-    let (attempt, _) = sent(&actions).expect("it is sent");
+    let (attempt, _) = sent(&actions).expect("the call is sent");
     let AttemptEnd::Replied(reply, response) = replied(HopOutcome::Unknown, 502) else {
-        panic!("it is a reply")
+        panic!("expected a reply")
     };
     let ended = AttemptEnd::Replied(HopReply { upstream_ended: true, ..reply }, response);
     let again = world.calls.ended(attempt, ended, world.now + 50);
@@ -292,14 +292,15 @@
     assert_eq!(told, [PoisonNews::Cleared(Clearing { fingerprint, crashes })]);
 }
 
-/// A sidecar whose coordinators were all gone: it knows nothing, the one beside the upstream does.
+/// A caller's sidecar that has lost all coordinators does not know of the quarantine, but the
+/// sidecar beside the upstream does.
 #[test]
 fn one_sidecar_that_knows_is_enough_and_no_other_is_asked() {
     let mut world = world(&[]);
     let actions = world.begin("GET", "/safe/poison");
-    let (attempt, _) = sent(&actions).expect("it is sent");
+    let (attempt, _) = sent(&actions).expect("the call is sent");
     let AttemptEnd::Replied(reply, response) = replied(HopOutcome::Refused, 503) else {
-        panic!("it is a reply")
+        panic!("expected a reply")
     };
     let told = HopReply { quarantine_left_ms: 45_000, ..reply };
     let ended = world.calls.ended(attempt, AttemptEnd::Replied(told, response), world.now + 5);
@@ -310,13 +311,13 @@
     assert!(sent(&world.begin("GET", "/safe/other")).is_some());
 }
 
-/// It was cleared, and went on ending upstreams that keep their ids: all their ends went for those that
-/// were known, so it was never kept away again.
+/// Guards against confusing several crashes under one instance id: after a request had been
+/// cleared, its later crashes were mistaken for the known ones, so it was never quarantined again.
 #[test]
 fn ends_of_an_upstream_that_keeps_its_id_are_told_apart() {
     let mut node = node("other");
     for (born_ms, sequence) in [(1_000, 2), (2_000, 3), (3_000, 4)] {
-        node.starts_at("i-1", born_ms, sequence);
+        node.start_at("i-1", born_ms, sequence);
         let job = node.run(sequence, "/poison", sequence * 10_000);
         node.crash(&[job], sequence * 10_000 + 50);
         if sequence == 3 {
@@ -327,10 +328,10 @@
     let told: Vec<String> =
         crashes(node.watch.take_untold()).into_iter().map(|report| report.instance).collect();
     assert_eq!(told, ["i-1@1000", "i-1@2000", "i-1@3000"]);
-    assert_eq!(node.watch.counts(40_060), (0, 1), "the third end speaks against it anew");
+    assert_eq!(node.watch.counts(40_060), (0, 1), "the third crash makes it a suspect again");
 }
 
-/// A sidecar that has heard of a clearing asks one beside an upstream that has not.
+/// A sidecar that knows that a request was cleared sends it to one that does not know yet.
 #[test]
 fn a_sidecar_that_has_yet_to_hear_of_a_clearing_is_passed_over_for_others() {
     let crashes = vec![CrashId(1), CrashId(2)];
@@ -347,15 +348,18 @@
     let fingerprint = identity.fingerprint();
     let news = PoisonNews::Cleared(Clearing { fingerprint, crashes });
     watch.learn(vec![PoisonNotice { age_ms: 0, news }], common::START_MS);
-    let (attempt, _) = sent(&world.begin("GET", "/safe/poison")).expect("it is sent");
+    let (attempt, _) = sent(&world.begin("GET", "/safe/poison")).expect("the call is sent");
     let AttemptEnd::Replied(reply, response) = replied(HopOutcome::Refused, 503) else {
-        panic!("it is a reply")
+        panic!("expected a reply")
     };
     let quarantine_crashes = [CrashId(1), CrashId(2)];
     let told = HopReply { quarantine_left_ms: 45_000, quarantine_crashes, ..reply };
     let ended = world.calls.ended(attempt, AttemptEnd::Replied(told, response), world.now + 5);
-    assert!(status(&ended).is_none() && sent(&ended).is_some(), "another upstream is asked");
-    assert!(sent(&world.begin("GET", "/safe/poison")).is_some(), "it is not kept away here");
+    assert!(
+        status(&ended).is_none() && sent(&ended).is_some(),
+        "the call is retried at another upstream"
+    );
+    assert!(sent(&world.begin("GET", "/safe/poison")).is_some(), "it is not quarantined here");
 }
 
 #[test]
@@ -364,42 +368,47 @@
     for (instance, sequence) in [("i-2", 2), ("i-3", 3)] {
         let job = node.run(sequence, "/poison", sequence * 100);
         node.crash(&[job], sequence * 100 + 50);
-        node.starts(instance, sequence);
+        node.start(instance, sequence);
     }
     let refused = replies(&node.begin(9, "/poison", false, 1_350));
     assert_eq!(refused[0].quarantine_left_ms, 59_000);
-    assert!(refused[0].quarantine_crashes.iter().all(|crash| *crash != CrashId(0)), "and why");
-    assert_eq!(replies(&node.begin(10, "/x", true, 1_350)).len(), 0, "others run");
+    assert!(
+        refused[0].quarantine_crashes.iter().all(|crash| *crash != CrashId(0)),
+        "the crashes behind it are included"
+    );
+    assert_eq!(replies(&node.begin(10, "/x", true, 1_350)).len(), 0, "other calls run");
 }
 
-/// It refuses at once and seems idle: peers that are not told would try it first.
+/// An ended upstream refuses immediately and looks idle, so peers that are not told would try it
+/// first.
 #[test]
 fn an_upstream_that_ended_is_not_there_for_peers_until_it_is_heard_of() {
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0)];
     node.crash(&jobs, 50);
-    assert!(node.jobs.take_instance_changed(), "coordinators are told");
+    assert!(node.jobs.take_instance_changed(), "the change is reported to the coordinators");
     assert_eq!(node.jobs.gate.record(60), None);
     let refused = replies(&node.begin(3, "/c", false, 60));
     assert_eq!(refused[0].outcome, HopOutcome::Refused);
     assert_eq!(refused[0].state, InstanceState::Left);
-    // It was frozen, not gone: its next heartbeat opens it again.
-    node.starts("i-1", 2);
+    // The upstream was frozen and not gone; its next heartbeat reopens it.
+    node.start("i-1", 2);
     let job = node.run(4, "/c", 1_000);
     assert!(
-        matches!(node.lose(job, 1_020)[..], [JobAction::Probe { again: false }]),
-        "it is found out anew"
+        matches!(node.lose_answer(job, 1_020)[..], [JobAction::Probe { again: false }]),
+        "a new crash must be probed again"
     );
 }
 
-/// It closes what it holds one after the other, its listener not first.
+/// A terminating process closes its sockets one after the other, and its listener not necessarily
+/// first.
 #[test]
 fn an_upstream_that_takes_a_connection_while_it_ends_is_found_out_at_the_second_look() {
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0)];
-    node.lose(jobs[0], 50);
+    node.lose_answer(jobs[0], 50);
     assert!(node.jobs.probed(true, 50).is_empty());
-    node.lose(jobs[1], 51);
+    node.lose_answer(jobs[1], 51);
     assert_eq!(node.jobs.next_tick(51), Some(55));
     assert!(matches!(node.jobs.tick(55)[..], [JobAction::Probe { again: true }]));
     let told = replies(&node.jobs.probed(false, 55));
@@ -407,14 +416,15 @@
     assert_eq!(crashes(node.watch.take_untold())[0].running.len(), 2);
 }
 
-/// All coordinators were gone when it ended; and what they are told must not accuse the cleared.
+/// All coordinators were gone when the upstream crashed; the report they get later must not include
+/// requests that were cleared in the meantime.
 #[test]
 fn coordinators_that_come_later_are_told_of_ends_and_of_who_is_still_suspected() {
     let mut node = node("i-1");
     let jobs = [node.run(1, "/a", 0), node.run(2, "/b", 0)];
     node.crash(&jobs, 50);
     node.watch.take_untold();
-    node.starts("i-2", 2);
+    node.start("i-2", 2);
     let good = node.run(3, "/a", 100);
     node.answer(good, 140);
     let told = node.watch.all_known(1_050);
@@ -422,6 +432,6 @@
     let reports = crashes(told);
     assert_eq!((reports[0].instance.as_str(), reports[0].running.len()), ("i-1", 1));
     node.watch.expire(11 * 60_000);
-    assert!(node.watch.all_known(11 * 60_000).is_empty(), "it is too old to tell anything");
+    assert!(node.watch.all_known(11 * 60_000).is_empty(), "old crashes are dropped");
     assert_eq!(node.watch.counts(11 * 60_000), (0, 0));
 }
--- a/crates/sidecar/tests/egress.rs
+++ b/crates/sidecar/tests/egress.rs
@@ -1,4 +1,4 @@
-//! Large answers and this machine's link: order at the sockets, and who is let to the upstream.
+//! Large answers on this machine's link: their order at the sockets, and which calls are admitted.
 
 mod common;
 
@@ -16,15 +16,15 @@
 use telemetry::Registry;
 
 const LOOPBACK: Ipv4Addr = Ipv4Addr::LOCALHOST;
-/// A link of 0.8 Mbit/s, bytes a millisecond.
-const THIN_LINK: f64 = 100.0;
-/// One that fills the buffers of a socket in no time, bytes a millisecond.
-const WIDE_LINK: f64 = 100_000.0;
+/// A link of 0.8 Mbit/s, in bytes per millisecond.
+const SLOW_LINK: f64 = 100.0;
+/// A link that fills the buffers of a socket immediately, in bytes per millisecond.
+const FAST_LINK: f64 = 100_000.0;
 const LARGE_BYTES: usize = 40_000;
-const MOST_TURNS: usize = 20_000;
+const MAX_TURNS: usize = 20_000;
 const LARGE: SendUrgency = SendUrgency { unhurried: true, rank: 1, target_ms: 1_500 };
 
-/// Connections of one process over a thin link, with the other ends of them.
+/// Connections of one process over a slow link, together with their other ends.
 struct Sockets {
     net: Net,
     listener: TcpListener,
@@ -57,65 +57,65 @@
 
 impl Sockets {
     fn open(count: usize) -> Self {
-        Self::over(THIN_LINK, count)
+        Self::with_link(SLOW_LINK, count)
     }
 
-    fn over(bytes_per_ms: f64, count: usize) -> Self {
-        let listener = TcpListener::bind((LOOPBACK, 0)).expect("a listener");
-        let net = Net::new(IpAddr::V4(LOOPBACK), Some(bytes_per_ms)).expect("a poll");
+    fn with_link(bytes_per_ms: f64, count: usize) -> Self {
+        let listener = TcpListener::bind((LOOPBACK, 0)).expect("binding a loopback address");
+        let net = Net::new(IpAddr::V4(LOOPBACK), Some(bytes_per_ms)).expect("creating the sockets");
         let mut sockets = Sockets { net, listener, held: Vec::new() };
         for _ in 0..count {
-            let address = sockets.listener.local_addr().expect("an address");
-            let id = sockets.net.connect(address).expect("a connection");
+            let address = sockets.listener.local_addr().expect("the listener's address");
+            let id = sockets.net.connect(address).expect("connecting to the listener");
             sockets.net.set_remote_for_tests(id);
             sockets.net.set_urgency(id, LARGE);
-            let (stream, _) = sockets.listener.accept().expect("taken");
-            stream.set_nonblocking(true).expect("not blocking");
+            let (stream, _) = sockets.listener.accept().expect("accepting the connection");
+            stream.set_nonblocking(true).expect("setting non-blocking mode");
             sockets.held.push((id, Peer { stream, received: Vec::new(), ended: false }));
         }
         sockets
     }
 
-    fn id(&self, place: usize) -> ConnectionId {
-        self.held[place].0
+    fn id(&self, index: usize) -> ConnectionId {
+        self.held[index].0
     }
 
-    fn peer(&self, place: usize) -> &Peer {
-        &self.held[place].1
+    fn peer(&self, index: usize) -> &Peer {
+        &self.held[index].1
     }
 
-    /// Turns until a condition holds; only these peers read.
-    fn until(&mut self, reading: &[usize], condition: impl Fn(&Sockets) -> bool) {
-        for _ in 0..MOST_TURNS {
+    /// Runs the loop until a condition holds; only the given peers read.
+    fn run_until(&mut self, reading: &[usize], condition: impl Fn(&Sockets) -> bool) {
+        for _ in 0..MAX_TURNS {
             if condition(self) {
                 return;
             }
             let wait_ms = self.net.due_in_ms().unwrap_or(1).min(5);
             self.net.poll(Duration::from_millis(wait_ms));
             self.net.pump();
-            for place in reading {
-                self.held[*place].1.read();
+            for index in reading {
+                self.held[*index].1.read();
             }
         }
-        panic!("the condition did not come");
+        panic!("the condition was not met in time");
     }
 }
 
 fn pattern(bytes: usize, seed: u8) -> Vec<u8> {
-    (0..bytes).map(|place| (place % 251) as u8 ^ seed).collect()
+    (0..bytes).map(|index| (index % 251) as u8 ^ seed).collect()
 }
 
 #[test]
 fn a_small_message_does_not_stand_behind_a_large_one() {
     let mut sockets = Sockets::open(2);
     let (large, small) = (sockets.id(0), sockets.id(1));
-    sockets.until(&[0, 1], |sockets| !sockets.net.has_unsent());
+    sockets.run_until(&[0, 1], |sockets| !sockets.net.has_unsent());
     sockets.net.send(large, &pattern(LARGE_BYTES, 1));
     sockets.net.send(small, b"small");
-    sockets.until(&[0, 1], |sockets| sockets.peer(1).received == b"small");
+    sockets.run_until(&[0, 1], |sockets| sockets.peer(1).received == b"small");
     assert!(sockets.peer(0).received.len() < LARGE_BYTES / 2);
     assert!(sockets.net.link_room().waiting_bytes > 0);
-    sockets.until(&[0, 1], |sockets| sockets.peer(0).received.len() == LARGE_BYTES);
+    sockets.run_until(&[0, 1], |sockets| sockets.peer(0).received.len() == LARGE_BYTES);
     assert_eq!(sockets.peer(0).received, pattern(LARGE_BYTES, 1));
     assert_eq!(sockets.net.link_room().waiting_bytes, 0);
     assert_eq!(sockets.net.due_in_ms(), None);
@@ -127,9 +127,9 @@
     let id = sockets.id(0);
     sockets.net.send(id, &pattern(LARGE_BYTES, 2));
     sockets.net.finish(id);
-    // What waits for the link is no reason to drop the connection.
+    // Output that waits for the link is no reason to drop the connection.
     sockets.net.sweep(Duration::ZERO);
-    sockets.until(&[0], |sockets| sockets.peer(0).ended);
+    sockets.run_until(&[0], |sockets| sockets.peer(0).ended);
     assert_eq!(sockets.peer(0).received, pattern(LARGE_BYTES, 2));
 }
 
@@ -141,7 +141,7 @@
     sockets.net.send(stays, &pattern(LARGE_BYTES / 8, 4));
     sockets.net.close(left);
     assert_eq!(sockets.net.link_room().waiting_bytes, LARGE_BYTES / 8);
-    sockets.until(&[1], |sockets| sockets.peer(1).received.len() == LARGE_BYTES / 8);
+    sockets.run_until(&[1], |sockets| sockets.peer(1).received.len() == LARGE_BYTES / 8);
     assert_eq!(sockets.net.link_room().waiting_bytes, 0);
 }
 
@@ -149,8 +149,8 @@
 fn what_a_socket_did_not_take_goes_before_a_large_message_of_its_connection() {
     let mut sockets = Sockets::open(1);
     let id = sockets.id(0);
-    sockets.until(&[], |sockets| !sockets.net.has_unsent());
-    // Small ones until the socket takes no more, since its peer does not read.
+    sockets.run_until(&[], |sockets| !sockets.net.has_unsent());
+    // Sends small messages until the socket accepts no more, since its peer does not read.
     let mut expected = Vec::new();
     while !sockets.net.has_unsent() {
         let small = pattern(200, 5);
@@ -165,27 +165,27 @@
     expected.extend(pattern(LARGE_BYTES, 6));
     expected.extend(pattern(100, 7));
     let whole = expected.len();
-    sockets.until(&[0], |sockets| sockets.peer(0).received.len() == whole);
-    assert!(sockets.peer(0).received == expected, "every byte, in its order");
+    sockets.run_until(&[0], |sockets| sockets.peer(0).received.len() == whole);
+    assert!(sockets.peer(0).received == expected, "every byte arrives in order");
 }
 
 #[test]
 fn a_peer_that_reads_nothing_holds_up_no_other() {
-    let mut sockets = Sockets::over(WIDE_LINK, 6);
-    for place in 0..5 {
-        let id = sockets.id(place);
+    let mut sockets = Sockets::with_link(FAST_LINK, 6);
+    for index in 0..5 {
+        let id = sockets.id(index);
         sockets.net.send(id, &pattern(8_000_000, 8));
     }
     let last = sockets.id(5);
     sockets.net.send(last, &pattern(LARGE_BYTES / 8, 9));
-    sockets.until(&[5], |sockets| sockets.peer(5).received.len() == LARGE_BYTES / 8);
+    sockets.run_until(&[5], |sockets| sockets.peer(5).received.len() == LARGE_BYTES / 8);
 }
 
 const DRAIN_MS: u64 = 2_000;
 const SLOTS: u32 = 12;
 const ANSWER_BYTES: usize = 90_000;
 const RUN_MS: u64 = 140;
-/// A link of 16 Mbit/s, of which nothing waits.
+/// A link of 16 Mbit/s on which no data waits.
 const ROOM: LinkRoom = LinkRoom { bytes_per_ms: Some(2_000.0), waiting_bytes: 0 };
 
 fn jobs(room: LinkRoom) -> Jobs {
@@ -254,10 +254,10 @@
     jobs.ended(job, UpstreamEnd::Answered(Answer { response, reusable: true }), now)
 }
 
-/// A sidecar that has seen one call answered with so many bytes.
-fn taught(room: LinkRoom, bytes: usize) -> Jobs {
+/// A sidecar whose only answer so far had this size.
+fn jobs_with_answer_size(room: LinkRoom, bytes: usize) -> Jobs {
     let mut jobs = jobs(room);
-    let job = run(&begin(&mut jobs, peer(0), &hop(), 0)).expect("it is let in");
+    let job = run(&begin(&mut jobs, peer(0), &hop(), 0)).expect("the first call is accepted");
     end(&mut jobs, job, bytes, RUN_MS);
     jobs.set_link_room(room);
     jobs
@@ -265,15 +265,16 @@
 
 #[test]
 fn a_run_whose_answer_would_leave_too_late_is_refused_with_slots_free() {
-    let mut jobs = taught(ROOM, ANSWER_BYTES);
-    // Six answers of 45 ms are 30 ms more than the link carries while one runs and the patience.
+    let mut jobs = jobs_with_answer_size(ROOM, ANSWER_BYTES);
+    // Six answers of 45 ms each exceed, by 30 ms, what the link carries during one job plus the
+    // patience of a call.
     let began = (1..=12).take_while(|slot| {
         let actions = begin(&mut jobs, peer(*slot), &hop(), 1_000);
         run(&actions).is_some()
     });
     assert_eq!(began.count(), 6);
-    assert_eq!(jobs.load(), (6, 0), "slots are free, and nothing waits");
-    let reply = refusal(&begin(&mut jobs, peer(20), &hop(), 1_000)).expect("refused");
+    assert_eq!(jobs.load(), (6, 0), "slots are free and the queue is empty");
+    let reply = refusal(&begin(&mut jobs, peer(20), &hop(), 1_000)).expect("a refusal");
     assert!(reply.link_full);
     assert_eq!((reply.egress_wait_ms, reply.egress_bytes_per_ms), (270, 2_000));
     assert!((50..=200).contains(&reply.retry_after_ms), "{}", reply.retry_after_ms);
@@ -283,15 +284,17 @@
 
 #[test]
 fn what_needs_no_link_or_is_waited_for_by_a_begun_run_is_let_in() {
-    let mut jobs = taught(LinkRoom { waiting_bytes: 2_000_000, ..ROOM }, ANSWER_BYTES);
+    let mut jobs =
+        jobs_with_answer_size(LinkRoom { waiting_bytes: 2_000_000, ..ROOM }, ANSWER_BYTES);
     assert!(refusal(&begin(&mut jobs, peer(1), &hop(), 1_000)).is_some());
     let beside = Source::Local(Attempt { call: 1, number: 1 });
     assert!(run(&begin(&mut jobs, beside, &hop(), 1_000)).is_some());
     let begun = HopRequest { begun: true, ..hop() };
     assert!(run(&begin(&mut jobs, peer(2), &begun, 1_000)).is_some());
-    // Another kind, whose answers are small.
+    // Another kind of call, whose answers are small.
     let small = HopRequest { target_ms: 200, ..hop() };
-    let job = run(&begin(&mut jobs, peer(3), &small, 1_000)).expect("nothing is known of it");
+    let job = run(&begin(&mut jobs, peer(3), &small, 1_000))
+        .expect("a call of an unknown kind is accepted");
     end(&mut jobs, job, 700, 1_050);
     jobs.set_link_room(LinkRoom { waiting_bytes: 2_000_000, ..ROOM });
     assert!(run(&begin(&mut jobs, peer(4), &small, 1_100)).is_some());
@@ -299,11 +302,11 @@
 
 #[test]
 fn jobs_that_end_otherwise_give_back_what_they_booked() {
-    let mut jobs = taught(ROOM, ANSWER_BYTES);
+    let mut jobs = jobs_with_answer_size(ROOM, ANSWER_BYTES);
     for slot in 1..=6 {
         assert!(run(&begin(&mut jobs, peer(slot), &hop(), 1_000)).is_some());
     }
-    // Their callers leave.
+    // The callers leave.
     for slot in 1..=3 {
         jobs.cancel(peer(slot), 1_010);
     }
@@ -314,7 +317,7 @@
 
 #[test]
 fn an_unknown_link_refuses_nothing() {
-    let mut jobs = taught(LinkRoom::default(), 10 * ANSWER_BYTES);
+    let mut jobs = jobs_with_answer_size(LinkRoom::default(), 10 * ANSWER_BYTES);
     for slot in 1..=u64::from(SLOTS) {
         assert!(run(&begin(&mut jobs, peer(slot), &hop(), 1_000)).is_some(), "{slot}");
     }
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The inbound side: who is let to the upstream, and what its answers mean.
+//! The inbound side: which calls reach the upstream, and how its answers are classified.
 
 mod common;
 
@@ -97,7 +97,7 @@
 fn the_upstream_is_told_what_is_left_and_who_is_meant() {
     let mut jobs = jobs();
     let actions = begin(&mut jobs, 1, 100);
-    let (_, request) = started(&actions).expect("it runs");
+    let (_, request) = started(&actions).expect("the job starts");
     assert_eq!(request.headers.text(NAMES.deadline_ms), Some("1000"));
     assert_eq!(request.headers.text(NAMES.expect_instance), Some("i-1"));
 }
@@ -110,7 +110,7 @@
         assert_eq!(outcomes(&actions), [HopOutcome::Refused]);
     }
     let actions = jobs.begin(source(2), request(), &hop(SERVICE, None), 100);
-    assert!(started(&actions).is_some(), "any incarnation will do");
+    assert!(started(&actions).is_some(), "no particular incarnation is required");
 }
 
 #[test]
@@ -118,9 +118,9 @@
     let mut jobs = jobs();
     let first = begin(&mut jobs, 1, 0);
     begin(&mut jobs, 2, 0);
-    assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
+    assert!(begin(&mut jobs, 3, 0).is_empty(), "the call is queued");
     jobs.gate.told(&record("i-1", InstanceState::Draining), 2, 10);
-    let (first, _) = started(&first).expect("runs");
+    let (first, _) = started(&first).expect("the job starts");
     let answer = Answer { response: sealed(200), reusable: true };
     let late = DRAIN_MS;
     let actions = jobs.ended(first, UpstreamEnd::Answered(answer), late);
@@ -153,14 +153,18 @@
     for (name, end, expected) in rows {
         let mut jobs = jobs();
         let actions = begin(&mut jobs, 1, 0);
-        let (job, _) = started(&actions).expect("it runs");
+        let (job, _) = started(&actions).expect("the job starts");
         let mut ended = jobs.ended(job, end, 50);
         if matches!(ended[..], [JobAction::Probe { again: false }]) {
-            assert_eq!(jobs.load(), (1, 0), "{name}: the slot is kept until it is known");
+            assert_eq!(
+                jobs.load(),
+                (1, 0),
+                "{name}: the slot stays occupied until the probe has ended"
+            );
             ended = found_alive(&mut jobs, 52);
         }
         assert_eq!(outcomes(&ended), [expected], "{name}");
-        assert_eq!(jobs.load(), (0, 0), "{name}: the slot is free again");
+        assert_eq!(jobs.load(), (0, 0), "{name}: the slot is released");
     }
 }
 
@@ -174,7 +178,7 @@
     let actions = jobs.connection_ended(ConnectionId::for_tests(1), 10);
     let aborted = actions.iter().filter(|action| matches!(action, JobAction::Abort(_)));
     assert_eq!(aborted.count(), 2);
-    assert!(started(&actions).is_some(), "the waiting one starts");
+    assert!(started(&actions).is_some(), "the queued call starts");
     assert_eq!(jobs.load(), (1, 0));
 }
 
@@ -226,13 +230,17 @@
     let mut jobs = jobs();
     let first = begin(&mut jobs, 1, 0);
     begin(&mut jobs, 2, 0);
-    assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
-    assert_eq!(outcomes(&jobs.close(10)), [HopOutcome::Refused], "the waiting one");
+    assert!(begin(&mut jobs, 3, 0).is_empty(), "the call is queued");
+    assert_eq!(outcomes(&jobs.close(10)), [HopOutcome::Refused], "the queued call is refused");
     let refused = begin(&mut jobs, 4, 20);
     assert_eq!(outcomes(&refused), [HopOutcome::Refused]);
     let JobAction::Reply { reply, .. } = &refused[0] else { panic!("a reply") };
-    assert_eq!(reply.state, InstanceState::Left, "peers need no other word");
-    let (job, _) = started(&first).expect("runs");
+    assert_eq!(
+        reply.state,
+        InstanceState::Left,
+        "the refusal itself tells the peer that the upstream is gone"
+    );
+    let (job, _) = started(&first).expect("the job starts");
     let answer = Answer { response: sealed(200), reusable: true };
     assert_eq!(
         outcomes(&jobs.ended(job, UpstreamEnd::Answered(answer), 50)),
@@ -250,12 +258,12 @@
             _ => None,
         })
     };
-    let mut told = Vec::new();
+    let mut percentages = Vec::new();
     for slot in 0..10 {
-        let (job, _) = started(&begin(&mut jobs, slot, 0)).expect("it runs");
+        let (job, _) = started(&begin(&mut jobs, slot, 0)).expect("the job starts");
         let status = if slot % 2 == 0 { 500 } else { 200 };
         let answer = Answer { response: sealed(status), reusable: true };
-        told.extend(failing(&jobs.ended(job, UpstreamEnd::Answered(answer), 50)));
+        percentages.extend(failing(&jobs.ended(job, UpstreamEnd::Answered(answer), 50)));
     }
     expect![[r#"
         [
@@ -271,7 +279,7 @@
             27,
         ]
     "#]]
-    .assert_debug_eq(&told);
+    .assert_debug_eq(&percentages);
     jobs.gate.told(&record("i-2", InstanceState::Ready), 1, 60);
     jobs.refresh_limit(0);
     let refused = jobs.begin(source(99), request(), &hop("another", None), 60);
@@ -281,29 +289,33 @@
 #[test]
 fn an_upstream_that_is_another_than_registered_last_is_found_out_by_its_answer() {
     let mut jobs = jobs();
-    // A heartbeat that was held up, of one that ended before i-1 began.
+    // A delayed heartbeat of an incarnation that ended before i-1 started.
     jobs.gate.told(&record("i-0", InstanceState::Ready), 4, 50);
     let actions = jobs.begin(source(1), request(), &hop(SERVICE, None), 100);
-    let (job, request) = started(&actions).expect("it runs");
+    let (job, request) = started(&actions).expect("the job starts");
     assert_eq!(request.headers.text(NAMES.expect_instance), Some("i-0"));
     let answer = Answer { response: Response::empty(421), reusable: true };
     let ended = jobs.ended(job, UpstreamEnd::Answered(answer), 110);
     assert_eq!(outcomes(&ended), [HopOutcome::Rejected]);
-    assert!(jobs.take_instance_changed() && !jobs.take_instance_changed(), "it is told once");
+    assert!(
+        jobs.take_instance_changed() && !jobs.take_instance_changed(),
+        "the change is reported once"
+    );
     assert_eq!(jobs.gate.id(), Some("i-1"));
     let actions = begin(&mut jobs, 2, 120);
-    let (_, request) = started(&actions).expect("it runs");
+    let (_, request) = started(&actions).expect("the job starts");
     assert_eq!(request.headers.text(NAMES.expect_instance), Some("i-1"));
 }
 
 #[test]
 fn calls_of_a_run_are_told_by_its_id_while_it_is_under_way() {
     let mut jobs = jobs();
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "nothing runs yet");
-    let (first, _) = started(&begin(&mut jobs, 1, 0)).map(|(id, _)| (id, ())).expect("runs");
+    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "no job is running yet");
+    let (first, _) =
+        started(&begin(&mut jobs, 1, 0)).map(|(id, _)| (id, ())).expect("the job starts");
     begin(&mut jobs, 2, 0);
-    assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
-    let told = ["7", "7.ab", "7.ab.cd", "8.ab", ".ab", ""].map(|id| (id, jobs.lineage(id)));
+    assert!(begin(&mut jobs, 3, 0).is_empty(), "the call is queued");
+    let lineages = ["7", "7.ab", "7.ab.cd", "8.ab", ".ab", ""].map(|id| (id, jobs.lineage(id)));
     expect![[r#"
         [
             (
@@ -332,12 +344,16 @@
             ),
         ]
     "#]]
-    .assert_debug_eq(&told);
+    .assert_debug_eq(&lineages);
     let answer = Answer { response: sealed(200), reusable: true };
     jobs.ended(first, UpstreamEnd::Answered(answer), 10);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::BegunWork, "another run of that id goes on");
+    assert_eq!(
+        jobs.lineage("7.ab"),
+        Lineage::BegunWork,
+        "another job with that id is still running"
+    );
     jobs.connection_ended(ConnectionId::for_tests(1), 20);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "its run is over");
+    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "the job has ended");
 }
 
 #[test]
@@ -346,12 +362,12 @@
     let repeated = HopRequest { repeat: true, ..hop(SERVICE, Some("i-1")) };
     let first = jobs.begin(source(1), request(), &repeated, 0);
     assert_eq!(jobs.lineage("7.ab"), Lineage::RepeatedWork);
-    let (id, _) = started(&first).expect("runs");
+    let (id, _) = started(&first).expect("the job starts");
     let answer = Answer { response: sealed(200), reusable: true };
     jobs.ended(id, UpstreamEnd::Answered(answer), 10);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "its run is over");
+    assert_eq!(jobs.lineage("7.ab"), Lineage::Caller, "the job has ended");
     begin(&mut jobs, 2, 20);
-    assert_eq!(jobs.lineage("7.ab"), Lineage::BegunWork, "a first run of that id");
+    assert_eq!(jobs.lineage("7.ab"), Lineage::BegunWork, "a first attempt, not a retry");
 }
 
 #[test]
@@ -361,45 +377,48 @@
     let hedge = HopRequest { repeat: true, hedge: true, ..hop(SERVICE, Some("i-1")) };
     let actions = jobs.begin(source(1), request(), &hedge, 499);
     assert_eq!(outcomes(&actions), [HopOutcome::Refused]);
-    assert!(started(&begin(&mut jobs, 2, 499)).is_some(), "others are let in");
+    assert!(started(&begin(&mut jobs, 2, 499)).is_some(), "calls that are not hedges are accepted");
     assert!(started(&jobs.begin(source(3), request(), &hedge, 500)).is_some());
 }
 
-fn told(running: u32, waiting: u32, pace_percent: Option<u32>) -> ReportedLoad {
+fn load(running: u32, waiting: u32, pace_percent: Option<u32>) -> ReportedLoad {
     ReportedLoad { running, waiting, slots: SLOTS, pace_percent }
 }
 
 #[test]
 fn slots_that_a_cut_run_still_holds_are_not_given_away() {
     let mut jobs = jobs();
-    let (first, _) = started(&begin(&mut jobs, 1, 0)).expect("runs");
+    let (first, _) = started(&begin(&mut jobs, 1, 0)).expect("the job starts");
     assert!(started(&begin(&mut jobs, 2, 0)).is_some());
-    // The second is cut, and its slot given to a third; the upstream works on all three.
+    // The second job is cancelled and its slot given to a third; the upstream works on all three.
     jobs.cancel(source(2), 10);
     assert!(started(&begin(&mut jobs, 3, 10)).is_some());
-    jobs.note_load_report(told(2, 1, None), 20);
+    jobs.note_load_report(load(2, 1, None), 20);
     let answer = Answer { response: sealed(200), reusable: true };
     let actions = jobs.ended(first, UpstreamEnd::Answered(answer), 20);
     let reply = actions.iter().find_map(|action| match action {
         JobAction::Reply { reply, .. } => Some(*reply),
         _ => None,
     });
-    assert_eq!(reply.expect("told").limit, 1, "senders are told of the slots that are left");
-    assert!(started(&begin(&mut jobs, 4, 20)).is_none(), "it waits: the third has the only slot");
-    // Nothing more was heard of it.
+    assert_eq!(reply.expect("a reply").limit, 1, "senders are told the number of remaining slots");
+    assert!(
+        started(&begin(&mut jobs, 4, 20)).is_none(),
+        "queued: the third job occupies the only slot"
+    );
+    // The load report has expired.
     assert!(started(&jobs.tick(320)).is_some());
 }
 
 #[test]
 fn what_the_upstream_tells_of_its_pace_is_passed_on() {
     let mut jobs = jobs();
-    let mut seen = Vec::new();
+    let mut paces = Vec::new();
     for pace in [None, Some(120), Some(0), Some(u32::MAX), Some(300)] {
-        jobs.note_load_report(told(0, 0, pace), 0);
-        seen.push(jobs.load_report(0).pace_percent);
+        jobs.note_load_report(load(0, 0, pace), 0);
+        paces.push(jobs.load_report(0).pace_percent);
     }
-    assert_eq!(seen, [0, 120, 120, 120, 300]);
-    // Another incarnation is another upstream.
+    assert_eq!(paces, [0, 120, 120, 120, 300]);
+    // A new incarnation starts without a pace.
     jobs.gate.told(&record("i-2", InstanceState::Ready), 2, 100);
     jobs.refresh_limit(0);
     assert_eq!(jobs.load_report(100).pace_percent, 0);
@@ -410,12 +429,12 @@
     let mut jobs = jobs();
     let first = begin(&mut jobs, 1, 0);
     begin(&mut jobs, 2, 0);
-    assert!(begin(&mut jobs, 3, 0).is_empty(), "it waits");
+    assert!(begin(&mut jobs, 3, 0).is_empty(), "the call is queued");
     let refused = jobs.set_evacuated(true, 10);
     assert_eq!(outcomes(&refused), [HopOutcome::Refused]);
     assert_eq!(outcomes(&begin(&mut jobs, 4, 20)), [HopOutcome::Refused]);
-    // What runs is not broken off.
-    let (first, _) = started(&first).expect("runs");
+    // Running jobs are not aborted.
+    let (first, _) = started(&first).expect("the job starts");
     let answer = Answer { response: sealed(200), reusable: true };
     let actions = jobs.ended(first, UpstreamEnd::Answered(answer), 30);
     assert_eq!(outcomes(&actions), [HopOutcome::Answered]);
@@ -430,8 +449,11 @@
     jobs.set_evacuated(true, 0);
     jobs.set_evacuated(false, 5_000);
     assert!(started(&begin(&mut jobs, 1, 5_000)).is_some());
-    assert!(begin(&mut jobs, 2, 5_001).is_empty(), "a slot is free, and it is taken for cold");
-    // Its next beat says that it is warm.
+    assert!(
+        begin(&mut jobs, 2, 5_001).is_empty(),
+        "queued although a slot is free, because the upstream is assumed to be cold"
+    );
+    // The next heartbeat reports that the upstream is warm.
     jobs.gate.told(&record("i-1", InstanceState::Ready), 9, 5_050);
     jobs.refresh_cold();
     assert!(started(&jobs.tick(5_051)).is_some());
@@ -445,15 +467,16 @@
     jobs.gate.told(&cold, 2, 0);
     jobs.refresh_cold();
     assert!(started(&begin(&mut jobs, 1, 0)).is_some());
-    // A second is longer than it would wait; the time told is when there is room.
+    // The call would have to wait a second, which exceeds its patience; it is told when there is
+    // room.
     let refused = begin(&mut jobs, 2, 10);
     let [JobAction::Reply { reply, .. }] = &refused[..] else { panic!("{refused:?}") };
     assert_eq!((reply.outcome, jobs.cold_refusals()), (HopOutcome::Refused, 1));
     assert!((490..=2_990).contains(&reply.retry_after_ms), "{}", reply.retry_after_ms);
-    // Its slots are full: that it is cold is not why.
+    // The slots are full, so the refusal is not because of a cold upstream.
     jobs.gate.told(&InstanceRecord { cold_remaining_ms: 0, ..cold }, 3, 20);
     jobs.refresh_cold();
     begin(&mut jobs, 3, 20);
-    assert_eq!(outcomes(&begin(&mut jobs, 4, 20)).len(), 0, "it waits");
+    assert_eq!(outcomes(&begin(&mut jobs, 4, 20)).len(), 0, "the call is queued");
     assert_eq!(jobs.cold_refusals(), 1);
 }
--- a/crates/sidecar/tests/link_choice.rs
+++ b/crates/sidecar/tests/link_choice.rs
@@ -1,12 +1,13 @@
-//! Which coordinators sidecars link to: how even that is, and what moves when members do.
+//! The selection of coordinators: how evenly the links are spread, and which links move when the
+//! membership changes.
 
 use mesh::{MemberPlace, NodeAddress};
 use sidecar::chosen_coordinators;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Most links of a coordinator, as a multiple of the mean.
-const MOST_OF_MEAN: f64 = 2.0;
+/// Maximum number of links of one coordinator, as a multiple of the mean.
+const MAX_RATIO_TO_MEAN: f64 = 2.0;
 const LINKS: usize = 4;
 
 fn zone(number: usize) -> String {
@@ -29,7 +30,7 @@
     (0..count).map(sidecar).collect()
 }
 
-/// The links of all sidecars, where some coordinators are down.
+/// The links of all sidecars while some coordinators are down.
 fn links(
     sidecars: &[(NodeAddress, String)],
     members: &[MemberPlace],
@@ -42,7 +43,8 @@
     sidecars.iter().map(of).collect()
 }
 
-/// Most links of one coordinator as a multiple of the mean, and the fewest links of a sidecar.
+/// The maximum number of links of one coordinator as a multiple of the mean, and the minimum number
+/// of links of a sidecar.
 fn balance(links: &[Vec<Ipv4Addr>], up: usize) -> (f64, usize) {
     let mut counts: BTreeMap<Ipv4Addr, usize> = BTreeMap::new();
     for coordinator in links.iter().flatten() {
@@ -80,7 +82,10 @@
         ];
         for (name, number, down) in lost {
             let (most, fewest) = balance(&links(&sidecars, &members, &down), coordinators - number);
-            assert!(most <= MOST_OF_MEAN, "{coordinators}, {name} lost: {most:.2} of the mean");
+            assert!(
+                most <= MAX_RATIO_TO_MEAN,
+                "{coordinators}, {name} lost: {most:.2} of the mean"
+            );
             assert_eq!(fewest, LINKS, "{coordinators}, {name} lost");
         }
     }
@@ -88,11 +93,11 @@
 
 #[test]
 fn the_lowest_addresses_would_carry_all() {
-    // The broken variant: everyone links to the first four.
+    // A deliberately bad selection: every sidecar links to the first four.
     let (members, sidecars) = (members(24, 6), sidecars(982, 6));
     let first: Vec<Ipv4Addr> = members.iter().take(LINKS).map(|member| member.address).collect();
     let links: Vec<Vec<Ipv4Addr>> = sidecars.iter().map(|_| first.clone()).collect();
-    assert!(balance(&links, 24).0 > MOST_OF_MEAN);
+    assert!(balance(&links, 24).0 > MAX_RATIO_TO_MEAN);
 }
 
 #[test]
@@ -100,7 +105,7 @@
     let (members, sidecars) = (members(24, 6), sidecars(982, 6));
     let zone_of = |address: &Ipv4Addr| {
         let found = members.iter().find(|member| member.address == *address);
-        found.map(|member| member.zone.clone()).expect("a member")
+        found.map(|member| member.zone.clone()).expect("the address of a member")
     };
     for ((_, zone), links) in sidecars.iter().zip(links(&sidecars, &members, &BTreeSet::new())) {
         let zones: Vec<String> = links.iter().map(zone_of).collect();
@@ -134,25 +139,25 @@
     let own = NodeAddress { ip: Ipv4Addr::new(10, 1, 0, 1), port: 8_300 };
     let chosen =
         |members: &[MemberPlace], zone: &str| chosen_coordinators(&own, zone, members, |_| false);
-    assert!(chosen(&[], "zone-0").is_empty(), "nobody");
+    assert!(chosen(&[], "zone-0").is_empty(), "no members");
     let few = members(8, 4);
-    assert_eq!(chosen(&few, "zone-0").len(), 8, "all of a small group");
+    assert_eq!(chosen(&few, "zone-0").len(), 8, "a small group is linked completely");
     let many = members(10_000, 6);
-    assert_eq!(chosen(&many, "zone-0").len(), LINKS, "ten thousand");
+    assert_eq!(chosen(&many, "zone-0").len(), LINKS, "ten thousand members");
     let mut twice = members(12, 6);
     twice.extend(members(12, 6));
     let links = chosen(&twice, "zone-0");
     let distinct: BTreeSet<&Ipv4Addr> = links.iter().collect();
-    assert_eq!((links.len(), distinct.len()), (LINKS, LINKS), "each twice");
+    assert_eq!((links.len(), distinct.len()), (LINKS, LINKS), "every member listed twice");
     let unknown: Vec<MemberPlace> = members(12, 6)
         .into_iter()
         .map(|member| MemberPlace { zone: String::new(), ..member })
         .collect();
-    assert_eq!(chosen(&unknown, "zone-0").len(), LINKS, "zones are not known");
-    assert_eq!(chosen(&members(12, 6), "elsewhere").len(), LINKS, "none in the own zone");
-    assert_eq!(chosen(&members(12, 6), "").len(), LINKS, "without a zone");
+    assert_eq!(chosen(&unknown, "zone-0").len(), LINKS, "unknown zones");
+    assert_eq!(chosen(&members(12, 6), "elsewhere").len(), LINKS, "no member in the own zone");
+    assert_eq!(chosen(&members(12, 6), "").len(), LINKS, "a sidecar without a zone");
     let itself = [MemberPlace { address: own.ip, zone: "zone-0".to_owned() }];
-    assert_eq!(chosen(&itself, "zone-0"), [own.ip], "one beside it");
+    assert_eq!(chosen(&itself, "zone-0"), [own.ip], "a member on the same machine");
 }
 
 #[test]
--- a/crates/sidecar/tests/link_meter.rs
+++ b/crates/sidecar/tests/link_meter.rs
@@ -1,12 +1,12 @@
-//! How much of a machine's link is in use.
+//! The measured utilization of a machine's link.
 
 use expect_test::expect;
 use sidecar::{LinkChange, LinkFullDetector, LinkMeter};
 use std::fmt::Write;
 
-/// A second of so many bytes each ten milliseconds, then half a second of rest, on a link of 3.2
-/// megabits a second (4,000 bytes in ten milliseconds).
-fn story(received: usize, sent: usize) -> String {
+/// One second of traffic every ten milliseconds, then half a second of silence, on a link of 3.2
+/// megabits per second (4,000 bytes in ten milliseconds).
+fn utilization_over_time(received: usize, sent: usize) -> String {
     let mut meter = LinkMeter::new(3.2);
     let mut text = String::new();
     for now in (0..=1_500).step_by(10) {
@@ -15,7 +15,7 @@
             meter.sent(sent, now);
         }
         if now % 250 == 0 {
-            writeln!(text, "{now} ms: {}%", meter.percent(now)).expect("text");
+            writeln!(text, "{now} ms: {}%", meter.percent(now)).expect("writing to a string");
         }
     }
     text
@@ -32,7 +32,7 @@
         1250 ms: 36%
         1500 ms: 19%
     "#]]
-    .assert_eq(&story(1_000, 3_000));
+    .assert_eq(&utilization_over_time(1_000, 3_000));
     expect![[r#"
         0 ms: 4%
         250 ms: 73%
@@ -42,7 +42,7 @@
         1250 ms: 73%
         1500 ms: 39%
     "#]]
-    .assert_eq(&story(6_000, 3_000));
+    .assert_eq(&utilization_over_time(6_000, 3_000));
 }
 
 #[test]
--- a/crates/sidecar/tests/links.rs
+++ b/crates/sidecar/tests/links.rs
@@ -1,4 +1,5 @@
-//! Which coordinator tells a sidecar of the others, against stand-ins on loopback addresses.
+//! Which coordinator provides the list of sidecars, tested with fake coordinators on loopback
+//! addresses.
 
 use bundle::{best_update, Bundle, Digest};
 use mesh::{
@@ -11,10 +12,11 @@
 use std::time::Duration;
 
 const OWN_ZONE: &str = "zone-a";
-/// Turns of a loop of ten milliseconds; a condition that does not come fails the test.
-const MOST_TURNS: usize = 500;
-/// Longer than a coordinator may be silent and stay the only one that is subscribed to.
-const SUSPECT_MS: u64 = 1_600;
+/// Limit on loop iterations of ten milliseconds each; a condition that is not met by then fails the
+/// test.
+const MAX_TURNS: usize = 500;
+/// Longer than a coordinator may be silent and remain the only subscription.
+const UNHEALTHY_MS: u64 = 1_600;
 
 fn ip(host: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 0, 0, host)
@@ -32,28 +34,34 @@
     }
 }
 
-/// A stand-in for a coordinator.
+/// A fake coordinator.
 struct Coordinator {
     listener: TcpListener,
     stream: Option<TcpStream>,
     input: Vec<u8>,
     greeted: bool,
-    heard: Vec<ToCoordinator>,
+    received: Vec<ToCoordinator>,
 }
 
 impl Coordinator {
     fn listen(host: u8, port: u16) -> Self {
-        let listener = TcpListener::bind((ip(host), port)).expect("a loopback address");
-        listener.set_nonblocking(true).expect("a socket option");
-        Coordinator { listener, stream: None, input: Vec::new(), greeted: false, heard: Vec::new() }
+        let listener = TcpListener::bind((ip(host), port)).expect("binding a loopback address");
+        listener.set_nonblocking(true).expect("setting non-blocking mode");
+        Coordinator {
+            listener,
+            stream: None,
+            input: Vec::new(),
+            greeted: false,
+            received: Vec::new(),
+        }
     }
 
-    /// Its process ends and another listens in its place.
+    /// Simulates a restart: the connection ends, and a new process listens on the same address.
     fn restart(&mut self) {
         self.stream = None;
         self.input.clear();
         self.greeted = false;
-        self.heard.clear();
+        self.received.clear();
     }
 
     fn port(&self) -> u16 {
@@ -65,31 +73,35 @@
             let Ok((stream, _)) = self.listener.accept() else {
                 return;
             };
-            stream.set_nonblocking(true).expect("a socket option");
+            stream.set_nonblocking(true).expect("setting non-blocking mode");
             self.stream = Some(stream);
         }
-        let stream = self.stream.as_mut().expect("accepted above");
+        let stream = self.stream.as_mut().expect("a stream accepted above");
         let mut piece = [0; 4_096];
         match stream.read(&mut piece) {
             Ok(count) => self.input.extend_from_slice(&piece[..count]),
             Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock),
         }
         if !self.greeted {
-            let greeting = decode_frame::<Greeting>(&self.input).expect("a greeting");
+            let greeting = decode_frame::<Greeting>(&self.input).expect("a valid greeting");
             let Some((_, length)) = greeting else { return };
             self.input.drain(..length);
             self.greeted = true;
         }
-        while let Some((frame, length)) = decode_frame(&self.input).expect("a frame") {
+        while let Some((frame, length)) = decode_frame(&self.input).expect("a valid frame") {
             self.input.drain(..length);
-            self.heard.push(frame);
+            self.received.push(frame);
         }
     }
 
     fn send(&mut self, frame: &ToSidecar) {
         let mut bytes = Vec::new();
         encode_frame(frame, &mut bytes);
-        self.stream.as_mut().expect("linked").write_all(&bytes).expect("a short frame");
+        self.stream
+            .as_mut()
+            .expect("a connected sidecar")
+            .write_all(&bytes)
+            .expect("writing a short frame");
     }
 
     fn welcome(&mut self, zone: &str) {
@@ -101,16 +113,16 @@
         self.send(&ToSidecar::Nodes { whole, changed, gone: Vec::new() });
     }
 
-    /// What it was last told of a subscription.
+    /// The last subscription state that it received.
     fn subscribed(&self) -> Option<bool> {
-        self.heard.iter().rev().find_map(|frame| match frame {
+        self.received.iter().rev().find_map(|frame| match frame {
             ToCoordinator::Subscribe { nodes } => Some(*nodes),
             _ => None,
         })
     }
 
-    fn asked_for_config(&self) -> bool {
-        self.heard.iter().any(|frame| matches!(frame, ToCoordinator::WantConfig { .. }))
+    fn requested_config(&self) -> bool {
+        self.received.iter().any(|frame| matches!(frame, ToCoordinator::WantConfig { .. }))
     }
 }
 
@@ -120,8 +132,8 @@
 /// The same after all coordinators were lost.
 const RECONNECT_WAIT_MS: u64 = 1_000;
 
-/// The links of one sidecar with their coordinators; the clock stands unless a test moves it.
-struct World {
+/// The links of one sidecar and their coordinators; the clock only advances when a test sets it.
+struct Harness {
     net: Net,
     links: Links,
     now: u64,
@@ -129,22 +141,24 @@
     coordinators: Vec<Coordinator>,
 }
 
-impl World {
-    /// Links to stand-ins at the given loopback addresses, each linked but not welcomed.
+impl Harness {
+    /// Links to fake coordinators at the given loopback addresses; all are connected, none has sent
+    /// a welcome.
     fn linked(hosts: &[u8]) -> Self {
         let mut coordinators = vec![Coordinator::listen(hosts[0], 0)];
         let port = coordinators[0].port();
         coordinators.extend(hosts[1..].iter().map(|host| Coordinator::listen(*host, port)));
         let seeds = hosts.iter().map(|host| ip(*host)).collect();
-        let net = Net::new(IpAddr::V4(ip(1)), None).expect("a poll");
+        let net = Net::new(IpAddr::V4(ip(1)), None).expect("creating the sockets");
         let links = Links::new("fleet", port, seeds, record(200, OWN_ZONE), 7);
-        let mut world = World { net, links, now: 1_000, events: Vec::new(), coordinators };
-        world.until(|world| world.coordinators.iter().all(|held| !held.heard.is_empty()));
-        // Seeds are wanted only until one of them is reached; members always.
+        let mut harness = Harness { net, links, now: 1_000, events: Vec::new(), coordinators };
+        harness
+            .run_until(|harness| harness.coordinators.iter().all(|held| !held.received.is_empty()));
+        // Seeds are linked only until one of them is reached, members always.
         let place = |host: &u8| MemberPlace { address: ip(*host), zone: String::new() };
         let members = hosts.iter().map(place).collect();
-        world.coordinators[0].send(&ToSidecar::Members { members });
-        world
+        harness.coordinators[0].send(&ToSidecar::Members { members });
+        harness
     }
 
     fn turn(&mut self) {
@@ -158,14 +172,14 @@
         }
     }
 
-    fn until(&mut self, condition: impl Fn(&World) -> bool) {
-        for _ in 0..MOST_TURNS {
+    fn run_until(&mut self, condition: impl Fn(&Harness) -> bool) {
+        for _ in 0..MAX_TURNS {
             if condition(self) {
                 return;
             }
             self.turn();
         }
-        panic!("the condition did not come");
+        panic!("the condition was not met in time");
     }
 
     fn is_listed(&self, host: u8) -> bool {
@@ -175,161 +189,169 @@
 
 #[test]
 fn a_coordinator_of_the_own_zone_takes_over_once_it_has_told_all() {
-    let mut world = World::linked(&[2, 3]);
-    world.coordinators[0].welcome("zone-b");
-    world.until(|world| world.links.is_welcomed());
-    world.now += OWN_ZONE_WAIT_MS;
-    world.until(|world| world.coordinators[0].subscribed() == Some(true));
-    world.coordinators[0].list(true, &[11, 12]);
-    world.until(|world| world.is_listed(11) && world.is_listed(12));
-    world.coordinators[1].welcome(OWN_ZONE);
-    world.until(|world| world.coordinators[1].subscribed() == Some(true));
-    // It started a moment ago, and knows one of them only.
-    world.coordinators[1].list(false, &[11]);
-    world.until(|world| matches!(world.events.last(), Some(LinkEvent::Node(_))));
-    assert_eq!(world.coordinators[0].subscribed(), Some(true));
-    assert!(world.is_listed(12), "an incomplete list replaces nothing");
-    world.coordinators[1].list(true, &[11]);
-    world.until(|world| world.coordinators[0].subscribed() == Some(false));
-    assert!(world.is_listed(11));
-    assert!(!world.is_listed(12));
+    let mut harness = Harness::linked(&[2, 3]);
+    harness.coordinators[0].welcome("zone-b");
+    harness.run_until(|harness| harness.links.is_welcomed());
+    harness.now += OWN_ZONE_WAIT_MS;
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(true));
+    harness.coordinators[0].list(true, &[11, 12]);
+    harness.run_until(|harness| harness.is_listed(11) && harness.is_listed(12));
+    harness.coordinators[1].welcome(OWN_ZONE);
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(true));
+    // This coordinator has just started and knows only one of the sidecars.
+    harness.coordinators[1].list(false, &[11]);
+    harness.run_until(|harness| matches!(harness.events.last(), Some(LinkEvent::Node(_))));
+    assert_eq!(harness.coordinators[0].subscribed(), Some(true));
+    assert!(harness.is_listed(12), "an incomplete list does not replace the previous one");
+    harness.coordinators[1].list(true, &[11]);
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(false));
+    assert!(harness.is_listed(11));
+    assert!(!harness.is_listed(12));
 }
 
 #[test]
 fn another_coordinator_tells_while_the_one_subscribed_to_is_silent() {
-    let mut world = World::linked(&[2, 3]);
-    world.coordinators[0].welcome(OWN_ZONE);
-    world.coordinators[1].welcome("zone-b");
-    world.until(|world| world.coordinators[0].subscribed() == Some(true));
-    world.coordinators[0].list(true, &[11]);
-    world.until(|world| world.is_listed(11));
-    assert_eq!(world.coordinators[1].subscribed(), None);
-    world.now += SUSPECT_MS;
-    world.coordinators[1].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
-    world.until(|world| world.coordinators[1].subscribed() == Some(true));
-    assert!(world.is_listed(11), "what the silent one told counts until another has told all");
-    // It is heard again before the other one has told all: it stays.
-    world.coordinators[0].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
-    world.coordinators[1].list(true, &[11]);
-    world.until(|world| world.coordinators[1].subscribed() == Some(false));
-    assert_eq!(world.coordinators[0].subscribed(), Some(true));
+    let mut harness = Harness::linked(&[2, 3]);
+    harness.coordinators[0].welcome(OWN_ZONE);
+    harness.coordinators[1].welcome("zone-b");
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(true));
+    harness.coordinators[0].list(true, &[11]);
+    harness.run_until(|harness| harness.is_listed(11));
+    assert_eq!(harness.coordinators[1].subscribed(), None);
+    harness.now += UNHEALTHY_MS;
+    harness.coordinators[1].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(true));
+    assert!(
+        harness.is_listed(11),
+        "the silent coordinator's list is valid until another one is complete"
+    );
+    // The silent coordinator is heard again before the other one has sent its complete list, so the
+    // subscription stays with it.
+    harness.coordinators[0].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
+    harness.coordinators[1].list(true, &[11]);
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(false));
+    assert_eq!(harness.coordinators[0].subscribed(), Some(true));
 }
 
 #[test]
 fn the_end_of_a_link_moves_the_subscription() {
-    let mut world = World::linked(&[2, 3]);
-    world.coordinators[0].welcome(OWN_ZONE);
-    world.coordinators[1].welcome("zone-b");
-    world.until(|world| world.coordinators[0].subscribed() == Some(true));
-    world.coordinators[0].list(true, &[11]);
-    world.until(|world| world.is_listed(11));
-    world.now += RECONNECT_WAIT_MS;
-    world.coordinators.remove(0);
-    world.until(|world| world.coordinators[0].subscribed() == Some(true));
-    assert!(world.is_listed(11));
-    world.coordinators[0].list(true, &[12]);
-    world.until(|world| world.is_listed(12));
-    assert!(!world.is_listed(11));
+    let mut harness = Harness::linked(&[2, 3]);
+    harness.coordinators[0].welcome(OWN_ZONE);
+    harness.coordinators[1].welcome("zone-b");
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(true));
+    harness.coordinators[0].list(true, &[11]);
+    harness.run_until(|harness| harness.is_listed(11));
+    harness.now += RECONNECT_WAIT_MS;
+    harness.coordinators.remove(0);
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(true));
+    assert!(harness.is_listed(11));
+    harness.coordinators[0].list(true, &[12]);
+    harness.run_until(|harness| harness.is_listed(12));
+    assert!(!harness.is_listed(11));
 }
 
 #[test]
 fn content_is_asked_of_a_coordinator_of_the_own_zone() {
-    let mut world = World::linked(&[2, 3, 4]);
+    let mut harness = Harness::linked(&[2, 3, 4]);
     for (number, zone) in ["zone-b", OWN_ZONE, "zone-c"].into_iter().enumerate() {
-        world.coordinators[number].welcome(zone);
-        world.coordinators[number].send(&ToSidecar::Announce { generation: 3 });
+        harness.coordinators[number].welcome(zone);
+        harness.coordinators[number].send(&ToSidecar::Announce { generation: 3 });
     }
-    world.until(|world| world.coordinators[1].subscribed() == Some(true));
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(true));
     let held = Bundle::from_objects(Vec::new()).digest();
     for _ in 0..20 {
-        world.turn();
+        harness.turn();
     }
-    world.links.request_config(&mut world.net, 0, held, world.now);
-    world.until(|world| world.coordinators.iter().any(Coordinator::asked_for_config));
-    let asked: Vec<bool> = world.coordinators.iter().map(Coordinator::asked_for_config).collect();
+    harness.links.request_config(&mut harness.net, 0, held, harness.now);
+    harness.run_until(|harness| harness.coordinators.iter().any(Coordinator::requested_config));
+    let asked: Vec<bool> = harness.coordinators.iter().map(Coordinator::requested_config).collect();
     assert_eq!(asked, [false, true, false]);
     let update = best_update(None, &Bundle::from_objects(Vec::new()));
     let digest: Digest = update.target();
-    world.coordinators[1].send(&ToSidecar::Config { generation: 3, confirmed: true, update });
+    harness.coordinators[1].send(&ToSidecar::Config { generation: 3, confirmed: true, update });
     let is_config = |event: &LinkEvent| matches!(event, LinkEvent::Config { generation: 3, .. });
-    world.until(|world| world.events.iter().any(is_config));
+    harness.run_until(|harness| harness.events.iter().any(is_config));
     assert_eq!(digest, held);
 }
 
 #[test]
 fn a_coordinator_of_the_own_zone_is_waited_for_a_moment() {
-    let mut world = World::linked(&[2, 3]);
+    let mut harness = Harness::linked(&[2, 3]);
     let held = Bundle::from_objects(Vec::new()).digest();
-    world.coordinators[0].welcome("zone-b");
-    world.coordinators[0].send(&ToSidecar::Announce { generation: 3 });
-    world.until(|world| world.links.announced() == 3);
-    world.links.request_config(&mut world.net, 0, held, world.now);
-    world.coordinators[1].welcome(OWN_ZONE);
-    world.until(|world| world.coordinators[1].subscribed() == Some(true));
-    // It has not heard of the generation yet: it is waited for, but not for long.
-    world.links.request_config(&mut world.net, 0, held, world.now + OWN_ZONE_WAIT_MS - 1);
+    harness.coordinators[0].welcome("zone-b");
+    harness.coordinators[0].send(&ToSidecar::Announce { generation: 3 });
+    harness.run_until(|harness| harness.links.announced() == 3);
+    harness.links.request_config(&mut harness.net, 0, held, harness.now);
+    harness.coordinators[1].welcome(OWN_ZONE);
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(true));
+    // The coordinator of the own zone has not announced the generation yet; it is waited for
+    // briefly.
+    harness.links.request_config(&mut harness.net, 0, held, harness.now + OWN_ZONE_WAIT_MS - 1);
     for _ in 0..20 {
-        world.turn();
+        harness.turn();
     }
-    assert!(!world.coordinators.iter().any(Coordinator::asked_for_config));
-    assert_eq!(world.coordinators[0].subscribed(), None);
-    world.now += OWN_ZONE_WAIT_MS;
-    world.links.request_config(&mut world.net, 0, held, world.now);
-    world.until(|world| world.coordinators[0].asked_for_config());
+    assert!(!harness.coordinators.iter().any(Coordinator::requested_config));
+    assert_eq!(harness.coordinators[0].subscribed(), None);
+    harness.now += OWN_ZONE_WAIT_MS;
+    harness.links.request_config(&mut harness.net, 0, held, harness.now);
+    harness.run_until(|harness| harness.coordinators[0].requested_config());
 }
 
 #[test]
 fn content_is_asked_for_before_it_is_announced() {
-    let mut world = World::linked(&[2, 3]);
+    let mut harness = Harness::linked(&[2, 3]);
     let held = Bundle::from_objects(Vec::new()).digest();
-    assert!(!world.links.request_first_config(&mut world.net, held, world.now), "none is linked");
-    world.coordinators[1].welcome(OWN_ZONE);
-    world.until(|world| world.links.is_welcomed());
-    assert!(world.links.request_first_config(&mut world.net, held, world.now));
-    world.until(|world| world.coordinators[1].asked_for_config());
+    assert!(
+        !harness.links.request_first_config(&mut harness.net, held, harness.now),
+        "no coordinator is linked"
+    );
+    harness.coordinators[1].welcome(OWN_ZONE);
+    harness.run_until(|harness| harness.links.is_welcomed());
+    assert!(harness.links.request_first_config(&mut harness.net, held, harness.now));
+    harness.run_until(|harness| harness.coordinators[1].requested_config());
     let update = best_update(None, &Bundle::from_objects(Vec::new()));
-    world.coordinators[1].send(&ToSidecar::Config { generation: 2, confirmed: false, update });
+    harness.coordinators[1].send(&ToSidecar::Config { generation: 2, confirmed: false, update });
     let told = |event: &LinkEvent| matches!(event, LinkEvent::Config { confirmed: false, .. });
-    world.until(|world| world.events.iter().any(told));
-    // A newer one is announced: it is asked for at once.
-    world.coordinators[1].heard.clear();
-    world.coordinators[1].send(&ToSidecar::Announce { generation: 3 });
-    world.until(|world| world.links.announced() == 3);
-    world.links.request_config(&mut world.net, 0, held, world.now);
-    world.until(|world| world.coordinators[1].asked_for_config());
+    harness.run_until(|harness| harness.events.iter().any(told));
+    // A newer generation is announced and requested at once.
+    harness.coordinators[1].received.clear();
+    harness.coordinators[1].send(&ToSidecar::Announce { generation: 3 });
+    harness.run_until(|harness| harness.links.announced() == 3);
+    harness.links.request_config(&mut harness.net, 0, held, harness.now);
+    harness.run_until(|harness| harness.coordinators[1].requested_config());
 }
 
 #[test]
 fn after_all_were_lost_the_own_zone_is_waited_for_while_a_list_still_counts() {
-    let mut world = World::linked(&[2, 3]);
-    world.coordinators[1].welcome(OWN_ZONE);
-    world.until(|world| world.coordinators[1].subscribed() == Some(true));
-    world.coordinators[1].list(true, &[11]);
-    world.until(|world| world.is_listed(11));
-    // All processes of the coordinators end and start again, the far one first.
-    for coordinator in &mut world.coordinators {
+    let mut harness = Harness::linked(&[2, 3]);
+    harness.coordinators[1].welcome(OWN_ZONE);
+    harness.run_until(|harness| harness.coordinators[1].subscribed() == Some(true));
+    harness.coordinators[1].list(true, &[11]);
+    harness.run_until(|harness| harness.is_listed(11));
+    // All coordinators restart, the one in the other zone first.
+    for coordinator in &mut harness.coordinators {
         coordinator.restart();
     }
-    world.until(|world| world.links.acknowledged_by(0).1 == 0);
+    harness.run_until(|harness| harness.links.acknowledged_by(0).1 == 0);
     for _ in 0..20 {
-        world.turn();
+        harness.turn();
     }
-    world.now += 2_000;
-    world.until(|world| world.coordinators.iter().all(|held| !held.heard.is_empty()));
-    world.coordinators[0].welcome("zone-b");
+    harness.now += 2_000;
+    harness.run_until(|harness| harness.coordinators.iter().all(|held| !held.received.is_empty()));
+    harness.coordinators[0].welcome("zone-b");
     for _ in 0..20 {
-        world.turn();
+        harness.turn();
     }
-    assert_eq!(world.coordinators[0].subscribed(), None);
-    world.now += OWN_ZONE_WAIT_MS;
+    assert_eq!(harness.coordinators[0].subscribed(), None);
+    harness.now += OWN_ZONE_WAIT_MS;
     for _ in 0..20 {
-        world.turn();
+        harness.turn();
     }
-    assert_eq!(world.coordinators[0].subscribed(), None, "a list still counts");
-    assert!(world.is_listed(11));
-    world.now += RECONNECT_WAIT_MS;
-    world.coordinators[0].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
-    world.until(|world| world.coordinators[0].subscribed() == Some(true));
+    assert_eq!(harness.coordinators[0].subscribed(), None, "the previous list is still valid");
+    assert!(harness.is_listed(11));
+    harness.now += RECONNECT_WAIT_MS;
+    harness.coordinators[0].send(&ToSidecar::Pong { asked_at: 0, generation: 0 });
+    harness.run_until(|harness| harness.coordinators[0].subscribed() == Some(true));
 }
 
 fn versions(revision: u64, barred: &str) -> ToSidecar {
@@ -338,9 +360,9 @@
     ToSidecar::Versions { revision, policies: vec![policy] }
 }
 
-/// What was barred by each word of versions that was taken.
-fn barred(world: &World) -> Vec<String> {
-    let told = world.events.iter().filter_map(|event| match event {
+/// The barred versions of each policy update that was applied.
+fn barred(harness: &Harness) -> Vec<String> {
+    let told = harness.events.iter().filter_map(|event| match event {
         LinkEvent::Versions(policies) => Some(policies[0].barred.join(",")),
         _ => None,
     });
@@ -349,13 +371,13 @@
 
 #[test]
 fn which_versions_get_calls_never_goes_back() {
-    let mut world = World::linked(&[2, 3]);
-    world.coordinators[0].send(&versions(7, "v2"));
-    world.until(|world| !barred(world).is_empty());
-    // A coordinator that is behind, one that repeats, and the next change.
-    world.coordinators[1].send(&versions(5, "v1"));
-    world.coordinators[1].send(&versions(7, "v9"));
-    world.coordinators[1].send(&versions(8, "v3"));
-    world.until(|world| barred(world).len() > 1);
-    assert_eq!(barred(&world), ["v2", "v3"]);
+    let mut harness = Harness::linked(&[2, 3]);
+    harness.coordinators[0].send(&versions(7, "v2"));
+    harness.run_until(|harness| !barred(harness).is_empty());
+    // An outdated update, a repeated revision, and the next change.
+    harness.coordinators[1].send(&versions(5, "v1"));
+    harness.coordinators[1].send(&versions(7, "v9"));
+    harness.coordinators[1].send(&versions(8, "v3"));
+    harness.run_until(|harness| barred(harness).len() > 1);
+    assert_eq!(barred(&harness), ["v2", "v3"]);
 }
--- a/crates/sidecar/tests/offers.rs
+++ b/crates/sidecar/tests/offers.rs
@@ -1,4 +1,4 @@
-//! Offered bodies at the inbound side: a row for every moment at which a transfer can go wrong.
+//! Offered bodies at the inbound side: one test for each point at which a transfer can go wrong.
 
 mod common;
 
@@ -15,12 +15,12 @@
 const DEADLINE_MS: u64 = 1_000;
 const PATIENCE_MS: u64 = 300;
 const BODY_BYTES: u64 = 60_000;
-/// A link that brings 680 bytes of bodies a millisecond.
+/// A link with room for 680 bytes of request bodies per millisecond.
 const LINK: Option<f64> = Some(800.0);
 
 struct Inbound {
     jobs: Jobs,
-    seen: String,
+    log: String,
 }
 
 impl Inbound {
@@ -29,27 +29,27 @@
         let mut jobs = Jobs::new(NAMES, SERVICE, DRAIN_MS, LINK, LogSample::new(1), metrics);
         jobs.gate.told(&record(InstanceState::Ready), 1, 0);
         jobs.refresh_limit(0);
-        Inbound { jobs, seen: String::new() }
+        Inbound { jobs, log: String::new() }
     }
 
-    /// Writes down what is done.
-    fn note(&mut self, now: u64, actions: Vec<JobAction>) {
+    /// Records the actions.
+    fn record_actions(&mut self, now: u64, actions: Vec<JobAction>) {
         for action in actions {
             let _ = match action {
                 JobAction::Run { request, .. } => {
                     let left = request.headers.text(NAMES.deadline_ms).unwrap_or("-").to_owned();
-                    writeln!(self.seen, "{now}: runs {} bytes, {left} ms left", request.body.len())
+                    writeln!(self.log, "{now}: runs {} bytes, {left} ms left", request.body.len())
                 }
-                JobAction::Probe { .. } => writeln!(self.seen, "{now}: probes"),
-                JobAction::Abort(_) => writeln!(self.seen, "{now}: aborts"),
+                JobAction::Probe { .. } => writeln!(self.log, "{now}: probes"),
+                JobAction::Abort(_) => writeln!(self.log, "{now}: aborts"),
                 JobAction::Grant { source, bytes } => {
-                    writeln!(self.seen, "{now}: grants {bytes} to {}", name(source))
+                    writeln!(self.log, "{now}: grants {bytes} to {}", peer_name(source))
                 }
                 JobAction::Reply { source, reply, .. } => writeln!(
-                    self.seen,
+                    self.log,
                     "{now}: {:?} to {}, back in {} ms, link {} ms",
                     reply.outcome,
-                    name(source),
+                    peer_name(source),
                     reply.retry_after_ms,
                     reply.transfer_wait_ms
                 ),
@@ -59,31 +59,31 @@
 
     fn offer(&mut self, peer: u64, now: u64) {
         let actions = self.jobs.offer(source(peer), "7", &hop(), BODY_BYTES, now);
-        self.note(now, actions);
+        self.record_actions(now, actions);
     }
 
     fn arrived(&mut self, peer: u64, bytes: u64, now: u64) {
         let actions = self.jobs.body_arrived(ConnectionId::for_tests(peer), bytes, now);
-        self.note(now, actions);
+        self.record_actions(now, actions);
     }
 
-    fn whole(&mut self, peer: u64, now: u64) {
+    fn complete(&mut self, peer: u64, now: u64) {
         let actions = self.jobs.begin(source(peer), request(), &hop(), now);
-        self.note(now, actions);
+        self.record_actions(now, actions);
     }
 
-    fn gone(&mut self, peer: u64, now: u64) {
+    fn disconnect(&mut self, peer: u64, now: u64) {
         let actions = self.jobs.connection_ended(ConnectionId::for_tests(peer), now);
-        self.note(now, actions);
+        self.record_actions(now, actions);
     }
 
     fn tick(&mut self, now: u64) {
         let actions = self.jobs.tick(now);
-        self.note(now, actions);
+        self.record_actions(now, actions);
     }
 
     fn check(&self, expected: Expect) {
-        expected.assert_eq(&format!("{}in flight: {}\n", self.seen, self.jobs.in_flight()));
+        expected.assert_eq(&format!("{}in flight: {}\n", self.log, self.jobs.in_flight()));
     }
 }
 
@@ -102,7 +102,7 @@
     Source::Peer { connection: ConnectionId::for_tests(peer), slot: 0 }
 }
 
-fn name(source: Source) -> String {
+fn peer_name(source: Source) -> String {
     let peers = (0..10).find(|peer| self::source(*peer) == source);
     peers.map_or_else(|| "this machine".to_owned(), |peer| format!("peer {peer}"))
 }
@@ -140,7 +140,7 @@
     inbound.offer(1, 101);
     inbound.arrived(1, 16_384, 130);
     inbound.arrived(1, 49_152, 170);
-    inbound.whole(1, 200);
+    inbound.complete(1, 200);
     inbound.check(expect![[r#"
         100: grants 24576 to peer 1
         130: grants 16384 to peer 1
@@ -174,7 +174,7 @@
     inbound.offer(1, 0);
     inbound.offer(2, 1);
     inbound.arrived(1, 20_000, 30);
-    inbound.gone(1, 40);
+    inbound.disconnect(1, 40);
     inbound.arrived(1, 30_000, 41);
     inbound.check(expect![[r#"
         0: grants 24576 to peer 1
@@ -191,8 +191,8 @@
     inbound.offer(2, 1);
     inbound.tick(149);
     inbound.tick(150);
-    inbound.whole(2, 260);
-    inbound.whole(1, 400);
+    inbound.complete(2, 260);
+    inbound.complete(1, 400);
     inbound.check(expect![[r#"
         0: grants 24576 to peer 1
         150: grants 24576 to peer 2
@@ -207,7 +207,7 @@
     let mut inbound = Inbound::new();
     inbound.offer(1, 0);
     inbound.jobs.gate.told(&record(InstanceState::Draining), 2, 10);
-    inbound.whole(1, 10 + DRAIN_MS);
+    inbound.complete(1, 10 + DRAIN_MS);
     inbound.offer(2, 20 + DRAIN_MS);
     inbound.check(expect![[r#"
         0: grants 24576 to peer 1
@@ -223,8 +223,8 @@
     inbound.offer(1, 0);
     inbound.offer(2, 1);
     let actions = inbound.jobs.close(10);
-    inbound.note(10, actions);
-    inbound.whole(1, 90);
+    inbound.record_actions(10, actions);
+    inbound.complete(1, 90);
     inbound.offer(3, 91);
     inbound.check(expect![[r#"
         0: grants 24576 to peer 1
@@ -239,9 +239,9 @@
 fn an_offer_for_which_there_is_no_slot_in_time_costs_the_link_nothing() {
     let mut inbound = Inbound::new();
     for peer in 1..=9 {
-        inbound.whole(peer, 0);
+        inbound.complete(peer, 0);
     }
-    inbound.seen.clear();
+    inbound.log.clear();
     inbound.offer(10, 1);
     inbound.check(expect![[r#"
         1: Refused to this machine, back in 50 ms, link 0 ms
--- a/crates/sidecar/tests/sample.rs
+++ b/crates/sidecar/tests/sample.rs
@@ -1,4 +1,4 @@
-//! Which calls are logged in every step.
+//! The sample of calls that are logged in full, and the rate limit for log lines.
 
 use sidecar::{LogRateLimit, LogSample};
 
--- a/crates/sidecar/tests/transit.rs
+++ b/crates/sidecar/tests/transit.rs
@@ -1,4 +1,4 @@
-//! How long calls waited on their way, and what becomes of those that waited too long.
+//! How long calls waited on their way, and what happens to those that waited too long.
 
 mod common;
 
@@ -11,8 +11,8 @@
 use telemetry::Registry;
 
 const CLOCK: u32 = 0xbeef;
-/// What the sender's clock shows when the receiver's shows 0.
-const AHEAD_MS: u64 = 70_000;
+/// Offset of the sender's clock: its value when the receiver's clock is at 0.
+const SENDER_OFFSET_MS: u64 = 70_000;
 
 fn departure(clock: u32, at_ms: u64) -> Departure {
     Departure { clock, at_ms }
@@ -21,9 +21,10 @@
 #[test]
 fn what_goes_beyond_the_shortest_way_was_waited() {
     let mut transits = TransitTimes::default();
-    let ways = [(100, 103), (200, 202), (300, 2_902), (3_000, 3_005)];
-    let waited =
-        ways.map(|(sent, arrived)| transits.waited_ms(departure(CLOCK, AHEAD_MS + sent), arrived));
+    let trips = [(100, 103), (200, 202), (300, 2_902), (3_000, 3_005)];
+    let waited = trips.map(|(sent, arrived)| {
+        transits.waited_ms(departure(CLOCK, SENDER_OFFSET_MS + sent), arrived)
+    });
     expect![[r#"
         [
             0,
@@ -38,9 +39,9 @@
 #[test]
 fn a_sender_that_started_again_has_another_clock() {
     let mut transits = TransitTimes::default();
-    transits.waited_ms(departure(CLOCK, AHEAD_MS), 2);
+    transits.waited_ms(departure(CLOCK, SENDER_OFFSET_MS), 2);
     assert_eq!(transits.waited_ms(departure(CLOCK + 1, 5), 50_000), 0);
-    assert_eq!(transits.waited_ms(departure(CLOCK, AHEAD_MS + 50_010), 50_020), 8);
+    assert_eq!(transits.waited_ms(departure(CLOCK, SENDER_OFFSET_MS + 50_010), 50_020), 8);
 }
 
 #[test]
@@ -48,7 +49,7 @@
     let mut transits = TransitTimes::default();
     let mut longest = 0;
     for second in 0..3_600_u64 {
-        // The receiver's clock runs faster by a thousandth.
+        // The receiver's clock is faster by one part in a thousand.
         let waited = transits.waited_ms(departure(CLOCK, second * 1_000), second * 1_001);
         longest = longest.max(waited);
     }
@@ -65,7 +66,7 @@
     assert!(transits.waited_ms(departure(CLOCK, 0), 10) > 0);
 }
 
-/// An inbound side that knows the bare way from its peer.
+/// An inbound side that has measured the minimum transit time from its peer.
 fn jobs() -> Jobs {
     let metrics = JobMetrics::new(&Registry::default());
     let mut jobs = Jobs::new(NAMES, SERVICE, 2_000, None, LogSample::new(1), metrics);
@@ -79,7 +80,7 @@
     };
     jobs.gate.told(&record, 1, 0);
     jobs.refresh_limit(0);
-    assert_eq!(seen(&begin(&mut jobs, 0, 1_000, 0, 2)), "runs, 1000 ms left");
+    assert_eq!(describe(&begin(&mut jobs, 0, 1_000, 0, 2)), "runs, 1000 ms left");
     jobs
 }
 
@@ -96,7 +97,7 @@
         repeatable: true,
         service: SERVICE.to_owned(),
         instance: None,
-        departure: Some(departure(CLOCK, AHEAD_MS + sent)),
+        departure: Some(departure(CLOCK, SENDER_OFFSET_MS + sent)),
         suspect: false,
         begun: false,
         repeat: false,
@@ -113,8 +114,8 @@
     jobs.begin(source(slot), Rc::new(request), &hop(deadline_ms, sent), now)
 }
 
-fn seen(actions: &[JobAction]) -> String {
-    let word = |action: &JobAction| match action {
+fn describe(actions: &[JobAction]) -> String {
+    let description = |action: &JobAction| match action {
         JobAction::Run { request, .. } => {
             format!("runs, {} ms left", request.headers.text(NAMES.deadline_ms).unwrap_or("-"))
         }
@@ -123,10 +124,10 @@
         JobAction::Probe { .. } => "probes".to_owned(),
         JobAction::Grant { bytes, .. } => format!("grants {bytes}"),
     };
-    let words: Vec<String> = actions.iter().map(word).collect();
-    match words.is_empty() {
+    let descriptions: Vec<String> = actions.iter().map(description).collect();
+    match descriptions.is_empty() {
         true => "waits".to_owned(),
-        false => words.join(", "),
+        false => descriptions.join(", "),
     }
 }
 
@@ -134,7 +135,7 @@
     let mut jobs = jobs();
     let sent = 500;
     let actions = begin(&mut jobs, 1, deadline_ms, sent, sent + 2 + way_ms);
-    expected.assert_eq(&seen(&actions));
+    expected.assert_eq(&describe(&actions));
 }
 
 #[test]
@@ -160,18 +161,18 @@
 fn time_on_the_way_counts_as_waiting() {
     let mut jobs = jobs();
     begin(&mut jobs, 1, 1_000, 10, 12);
-    // Both slots are taken; a call takes 100 ms, so the next would wait 50.
-    assert_eq!(seen(&begin(&mut jobs, 2, 1_000, 20, 22 + 90)), "waits");
-    assert_eq!(seen(&begin(&mut jobs, 3, 1_000, 30, 32 + 90)), "Refused");
+    // Both slots are occupied; a call takes 100 ms, so the next one would wait for 50 ms.
+    assert_eq!(describe(&begin(&mut jobs, 2, 1_000, 20, 22 + 90)), "waits");
+    assert_eq!(describe(&begin(&mut jobs, 3, 1_000, 30, 32 + 90)), "Refused");
 }
 
 #[test]
 fn an_offer_that_was_late_on_the_way_is_refused_before_its_body() {
     let mut jobs = jobs();
     let actions = jobs.offer(source(1), "7", &hop(10_000, 500), 60_000, 502 + 401);
-    assert_eq!(seen(&actions), "Refused");
+    assert_eq!(describe(&actions), "Refused");
     let actions = jobs.offer(source(2), "8", &hop(10_000, 1_000), 60_000, 1_002);
-    assert_eq!(seen(&actions), "grants 32768");
+    assert_eq!(describe(&actions), "grants 32768");
 }
 
 #[test]
--- a/crates/sidecar/tests/trial.rs
+++ b/crates/sidecar/tests/trial.rs
@@ -1,4 +1,4 @@
-//! A canary as the sidecar beside an upstream sees it: what it counts, tells, and lets pass.
+//! A canary as seen by the sidecar beside an upstream: what it counts, reports, and admits.
 
 mod common;
 
@@ -81,13 +81,13 @@
     matches!(actions, [JobAction::Reply { reply, .. }] if reply.outcome == HopOutcome::Refused)
 }
 
-fn told(evidence: Option<VersionEvidence>) -> String {
+fn describe(evidence: Option<VersionEvidence>) -> String {
     let Some(evidence) = evidence else {
         return "nothing".to_owned();
     };
-    let classes = evidence.classes.iter().map(|told| {
-        let (failed, ended) = (told.outcomes.failed, told.outcomes.ended());
-        format!("{} ms: {failed} of {ended} failed", told.class.target_ms)
+    let classes = evidence.classes.iter().map(|entry| {
+        let (failed, ended) = (entry.outcomes.failed, entry.outcomes.ended());
+        format!("{} ms: {failed} of {ended} failed", entry.class.target_ms)
     });
     let classes: Vec<String> = classes.collect();
     format!("run {} {} {}", evidence.run, evidence.version, classes.join(", "))
@@ -97,19 +97,19 @@
 fn every_call_of_a_warm_upstream_is_counted_and_told_in_sums() {
     let mut jobs = jobs("v2");
     run(&mut jobs, 600, answered(200), 100, 50);
-    assert_eq!(told(jobs.evidence_due(200)), "nothing", "there is no canary");
+    assert_eq!(describe(jobs.evidence_due(200)), "nothing", "no canary is running");
     jobs.set_policy(policy(5, 25, &[]));
     run(&mut jobs, 600, answered(200), 300, 50);
     run(&mut jobs, 600, answered(500), 400, 50);
-    expect!["run 5 v2 600 ms: 1 of 1 failed"].assert_eq(&told(jobs.evidence_due(500)));
+    expect!["run 5 v2 600 ms: 1 of 1 failed"].assert_eq(&describe(jobs.evidence_due(500)));
     for at in [1_100, 1_200, 1_300] {
         run(&mut jobs, 600, answered(200), at, 50);
     }
     run(&mut jobs, 200, UpstreamEnd::Failed(ExchangeError::NoAnswer), 1_400, 10);
-    assert_eq!(told(jobs.evidence_due(700)), "nothing", "it was told a moment ago");
+    assert_eq!(describe(jobs.evidence_due(700)), "nothing", "the last report is too recent");
     expect!["run 5 v2 200 ms: 1 of 1 failed, 600 ms: 1 of 4 failed"]
-        .assert_eq(&told(jobs.evidence_due(1_500)));
-    assert_eq!(told(jobs.evidence_due(9_000)), "nothing", "nothing is new");
+        .assert_eq(&describe(jobs.evidence_due(1_500)));
+    assert_eq!(describe(jobs.evidence_due(9_000)), "nothing", "there are no new outcomes");
 }
 
 #[test]
@@ -118,11 +118,11 @@
     jobs.set_policy(policy(5, 25, &[]));
     run(&mut jobs, 600, answered(500), 2_000, 50);
     jobs.set_policy(policy(5, 300, &[]));
-    expect!["run 5 v1 600 ms: 1 of 1 failed"].assert_eq(&told(jobs.evidence_due(2_500)));
+    expect!["run 5 v1 600 ms: 1 of 1 failed"].assert_eq(&describe(jobs.evidence_due(2_500)));
     jobs.set_policy(policy(9, 25, &[]));
-    assert_eq!(told(jobs.evidence_due(3_500)), "nothing");
+    assert_eq!(describe(jobs.evidence_due(3_500)), "nothing");
     run(&mut jobs, 600, answered(200), 4_000, 50);
-    expect!["run 9 v1 600 ms: 0 of 1 failed"].assert_eq(&told(jobs.evidence_due(5_000)));
+    expect!["run 9 v1 600 ms: 0 of 1 failed"].assert_eq(&describe(jobs.evidence_due(5_000)));
 }
 
 #[test]
