--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -120,8 +120,8 @@
         if generation <= self.generation() {
             return false;
         }
-        let held = self.newest_held();
-        let bundle = match update.apply(held) {
+        let current = self.newest_held();
+        let bundle = match update.apply(current) {
             Ok(bundle) => bundle,
             Err(error) => {
                 warn!(generation, %error, "generation_not_applied");
--- a/crates/sidecar/src/jobs/crash.rs
+++ b/crates/sidecar/src/jobs/crash.rs
@@ -70,15 +70,15 @@
     }
 
     /// Handles the result of a probe: whether the upstream accepted a connection.
-    pub fn probed(&mut self, taken: bool, now: Millis) -> Vec<JobAction> {
+    pub fn probed(&mut self, accepted: bool, now: Millis) -> Vec<JobAction> {
         if self.crash.probing_since.is_none() {
             return Vec::new();
         }
-        if taken && !self.crash.second_probe {
+        if accepted && !self.crash.second_probe {
             self.crash.second_probe_at = Some(now + SECOND_PROBE_DELAY_MS);
             return Vec::new();
         }
-        self.finish_probe(taken, now)
+        self.finish_probe(accepted, now)
     }
 
     fn finish_probe(&mut self, alive: bool, now: Millis) -> Vec<JobAction> {
--- a/crates/sidecar/src/jobs/offers.rs
+++ b/crates/sidecar/src/jobs/offers.rs
@@ -126,8 +126,8 @@
             return Some(("no_room", retry_after_ms));
         }
         let transfer = Transfer { id: self.offers.next, bytes, rank, target_ms, patience_ms };
-        let taken = self.offers.transfers.offer(transfer, now);
-        taken.err().map(|retry_after_ms| ("link_busy", retry_after_ms))
+        let result = self.offers.transfers.offer(transfer, now);
+        result.err().map(|retry_after_ms| ("link_busy", retry_after_ms))
     }
 
     /// Records how many bytes of an offered body have arrived on a connection.
--- a/crates/sidecar/src/link_meter.rs
+++ b/crates/sidecar/src/link_meter.rs
@@ -75,11 +75,11 @@
 
     /// Utilization of the busier direction, in percent; 0 if the capacity is unknown.
     pub fn percent(&self, now: Millis) -> u32 {
-        let Some(whole) = self.bytes_per_ms else {
+        let Some(capacity) = self.bytes_per_ms else {
             return 0;
         };
         let busier = self.received.bytes_per_ms(now).max(self.sent.bytes_per_ms(now));
-        (busier / whole * 100.0).min(MAX_PERCENT).round() as u32
+        (busier / capacity * 100.0).min(MAX_PERCENT).round() as u32
     }
 }
 
--- a/crates/sidecar/src/links/content.rs
+++ b/crates/sidecar/src/links/content.rs
@@ -24,16 +24,16 @@
 
     /// Requests a newer configuration from one coordinator, if one was announced.
     pub fn request_config(&mut self, net: &mut Net, applied: u64, held: Digest, now: Millis) {
-        let asked = self.config_request.filter(|(_, at)| now < *at + CONFIG_TIMEOUT_MS);
-        if asked.is_some() {
+        let pending = self.config_request.filter(|(_, at)| now < *at + CONFIG_TIMEOUT_MS);
+        if pending.is_some() {
             return;
         }
-        let passed_over = self.config_request.map(|(from, _)| from);
+        let skipped = self.config_request.map(|(from, _)| from);
         let newer = |link: &Link| link.open && link.announced > applied;
         let found = self.links.iter().filter(|(_, link)| newer(link));
         let best = found.max_by_key(|(address, link)| {
             let rank = self.rank(**address);
-            (Some(**address) != passed_over, link.announced, link.same_zone, rank)
+            (Some(**address) != skipped, link.announced, link.same_zone, rank)
         });
         let Some((address, link)) = best else {
             return;
@@ -41,7 +41,7 @@
         let near = self.links.values().any(|link| link.same_zone && link.is_healthy(now));
         let waits =
             self.waits_for_own_zone(now) || near && now < self.announced_at + OWN_ZONE_WAIT_MS;
-        if waits && !link.same_zone && passed_over.is_none() {
+        if waits && !link.same_zone && skipped.is_none() {
             return;
         }
         send(net, link, &ToCoordinator::WantConfig { held });
--- a/crates/sidecar/src/links/credits.rs
+++ b/crates/sidecar/src/links/credits.rs
@@ -11,8 +11,8 @@
     /// Requests credits if any are wanted, from the coordinator of the own zone, or from the next
     /// one while that one does not answer.
     pub fn ask_credits<T>(&mut self, net: &mut Net, gate: &mut Gate<T>, now: Millis) {
-        let asked = self.credits_request.and_then(|asked| self.links.get(&asked));
-        if self.credits_request.is_some() && !asked.is_some_and(|link| link.welcomed) {
+        let link = self.credits_request.and_then(|address| self.links.get(&address));
+        if self.credits_request.is_some() && !link.is_some_and(|link| link.welcomed) {
             self.credits_request = None;
             gate.link_lost();
         }
--- a/crates/sidecar/src/links/mod.rs
+++ b/crates/sidecar/src/links/mod.rs
@@ -42,7 +42,7 @@
 const STALE_NODES_TTL_MS: u64 = 15_000;
 /// After this many failed attempts another coordinator is linked in addition; with growing retry
 /// delays this takes about half a second.
-const MAX_FAILURES: u32 = 3;
+const FAILURES_UNTIL_DOWN: u32 = 3;
 
 /// An event from a link.
 #[derive(Debug)]
@@ -86,7 +86,7 @@
     connection: Option<ConnectionId>,
     open: bool,
     welcomed: bool,
-    since: Millis,
+    connecting_since: Millis,
     received_at: Millis,
     pinged_at: Option<Millis>,
     retry_at: Millis,
@@ -386,12 +386,12 @@
     /// Opens missing links, and closes links to silent coordinators.
     pub fn tick(&mut self, net: &mut Net, now: Millis) {
         let wanted = self.wanted();
-        let silent = |link: &Link| {
+        let is_silent = |link: &Link| {
             let limit = if link.open { SILENCE_TIMEOUT_MS } else { CONNECT_TIMEOUT_MS };
-            let since = if link.open { link.received_at } else { link.since };
+            let since = if link.open { link.received_at } else { link.connecting_since };
             link.connection.is_some() && since + limit <= now
         };
-        let found = self.links.iter().filter(|(_, link)| silent(link));
+        let found = self.links.iter().filter(|(_, link)| is_silent(link));
         let lost: Vec<Ipv4Addr> = found.map(|(address, _)| *address).collect();
         for address in lost {
             self.lost(net, address, "silent", now);
@@ -400,7 +400,7 @@
         for address in &wanted {
             let link = self.links.entry(*address).or_default();
             if link.connection.is_none() && link.retry_at <= now {
-                link.since = now;
+                link.connecting_since = now;
                 match net.connect(SocketAddr::from((*address, self.port))) {
                     Ok(id) => link.connection = Some(id),
                     Err(_) => link.retry_at = now + MAX_RETRY_MS,
@@ -412,24 +412,24 @@
         let lists_all =
             |(address, link): (&Ipv4Addr, &Link)| wanted.contains(address) && link.list_complete;
         let replaced = self.links.iter().any(lists_all);
-        let former = |address: &Ipv4Addr, link: &Link| {
-            let over = match link.open {
+        let is_obsolete = |address: &Ipv4Addr, link: &Link| {
+            let expired = match link.open {
                 true => replaced || !link.subscribed,
                 false => link.lost_at.is_none_or(|at| at + STALE_NODES_TTL_MS <= now),
             };
-            !wanted.contains(address) && over
+            !wanted.contains(address) && expired
         };
-        let found = self.links.iter().filter(|(address, link)| former(address, link));
+        let found = self.links.iter().filter(|(address, link)| is_obsolete(address, link));
         let unwanted: Vec<Ipv4Addr> = found.map(|(address, _)| *address).collect();
         for address in unwanted {
             if let Some(id) = self.links.remove(&address).and_then(|link| link.connection) {
                 net.close(id);
             }
         }
-        let due = |link: &&mut Link| {
+        let ping_due = |link: &&mut Link| {
             link.open && link.pinged_at.is_none_or(|at| at + PING_INTERVAL_MS <= now)
         };
-        for link in self.links.values_mut().filter(due) {
+        for link in self.links.values_mut().filter(ping_due) {
             link.pinged_at = Some(now);
             send(net, link, &ToCoordinator::Ping { asked_at: now });
         }
@@ -439,7 +439,7 @@
     fn wanted(&self) -> Vec<Ipv4Addr> {
         let is_down = |member: Ipv4Addr| {
             let link = self.links.get(&member);
-            link.is_some_and(|link| !link.welcomed && link.failures >= MAX_FAILURES)
+            link.is_some_and(|link| !link.welcomed && link.failures >= FAILURES_UNTIL_DOWN)
         };
         let (own, zone) = (&self.record.address, &self.record.zone);
         let mut wanted = choice::chosen(own, zone, &self.members, is_down);
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -86,12 +86,12 @@
                 Err(_) => break,
             }
         }
-        let taken = self.sent - before;
+        let written = self.sent - before;
         if self.sent == self.output.len() {
             self.sent = 0;
             self.output = Vec::new();
         }
-        taken
+        written
     }
 
     /// Shuts down the sending direction. This fails harmlessly if the other side has already
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -229,11 +229,11 @@
                 self.pacer.remove(piece.key);
                 continue;
             };
-            let taken = connection.write_piece(piece.bytes);
-            if taken > 0 {
-                self.pacer.handed_over(piece.key, taken, now_ms);
+            let written = connection.write_piece(piece.bytes);
+            if written > 0 {
+                self.pacer.handed_over(piece.key, written, now_ms);
             }
-            if taken < piece.bytes {
+            if written < piece.bytes {
                 self.pacer.hold_up(piece.key, now_ms);
             }
             self.end_if_finished(piece.key);
@@ -312,7 +312,7 @@
     /// closed.
     pub fn sweep(&mut self, longest: Duration) {
         // Output that waits for the link does not mean that the peer has stopped reading.
-        let late = |index: usize, connection: &Connection| {
+        let is_stale = |index: usize, connection: &Connection| {
             let id = ConnectionId { index, generation: connection.generation };
             let waits = self.pacer.holds(id) && !connection.ended;
             !waits && connection.lingering.is_some_and(|since| since.elapsed() > longest)
@@ -321,7 +321,8 @@
             index,
             generation: connection.generation,
         };
-        let found = self.connections.iter().filter(|(index, held)| late(*index, held));
+        let found =
+            self.connections.iter().filter(|(index, connection)| is_stale(*index, connection));
         let ids: Vec<ConnectionId> = found.map(of).collect();
         for id in ids {
             self.close(id);
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -170,8 +170,8 @@
 
     /// Whether a request was sent completely, so that it may have run.
     pub fn was_sent(&self, key: K) -> bool {
-        let held = self.by_key.get(&key).and_then(|id| self.connections.get(id));
-        held.is_some_and(|held| matches!(held.state, State::Busy { unsent: None, .. }))
+        let conn = self.by_key.get(&key).and_then(|id| self.connections.get(id));
+        conn.is_some_and(|conn| matches!(conn.state, State::Busy { unsent: None, .. }))
     }
 
     /// Handles an event on one of the connections.
@@ -187,9 +187,9 @@
                 None
             }
             NetEvent::ConnectFailed(id) => {
-                let held = self.connections.remove(id)?;
-                self.note_probe_failed(&held.state);
-                let key = held.key?;
+                let conn = self.connections.remove(id)?;
+                self.note_probe_failed(&conn.state);
+                let key = conn.key?;
                 self.by_key.remove(&key);
                 Some((key, PoolEnd::NotSent))
             }
@@ -200,16 +200,16 @@
     }
 
     fn opened(&mut self, net: &mut Net, id: ConnectionId, now: Millis) {
-        let Some(held) = self.connections.get_mut(&id) else {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
-        match std::mem::replace(&mut held.state, State::Idle { since: now }) {
-            State::Opening { outgoing, .. } => held.state = send(net, id, outgoing),
+        match std::mem::replace(&mut conn.state, State::Idle { since: now }) {
+            State::Opening { outgoing, .. } => conn.state = send(net, id, outgoing),
             State::Probing { .. } => {
                 self.probe_result = Some(true);
-                self.idle.entry(held.address).or_default().push(id);
+                self.idle.entry(conn.address).or_default().push(id);
             }
-            other => held.state = other,
+            other => conn.state = other,
         }
     }
 
@@ -220,8 +220,8 @@
     }
 
     fn received(&mut self, net: &mut Net, id: ConnectionId, now: Millis) -> Option<(K, PoolEnd)> {
-        let held = self.connections.get_mut(&id)?;
-        let State::Busy { exchange, unsent } = &mut held.state else {
+        let conn = self.connections.get_mut(&id)?;
+        let State::Busy { exchange, unsent } = &mut conn.state else {
             // No request was sent.
             self.drop_connection(net, id);
             return None;
@@ -236,11 +236,11 @@
                 // If the body was rejected, the connection is reusable only if none of the body was
                 // sent.
                 let in_sync = unsent.as_ref().is_none_or(|body| body.sent == 0);
-                let key = held.key.take()?;
+                let key = conn.key.take()?;
                 self.by_key.remove(&key);
                 if answer.reusable && in_sync {
-                    held.state = State::Idle { since: now };
-                    self.idle.entry(held.address).or_default().push(id);
+                    conn.state = State::Idle { since: now };
+                    self.idle.entry(conn.address).or_default().push(id);
                     net.trim(id);
                 } else {
                     self.drop_connection(net, id);
@@ -257,8 +257,8 @@
         id: ConnectionId,
         end: StreamEnd,
     ) -> Option<(K, PoolEnd)> {
-        let held = self.connections.get_mut(&id)?;
-        match &mut held.state {
+        let conn = self.connections.get_mut(&id)?;
+        match &mut conn.state {
             State::Idle { .. } => {
                 self.drop_connection(net, id);
                 None
@@ -269,14 +269,14 @@
                 None
             }
             State::Opening { .. } => {
-                let key = held.key.take()?;
+                let key = conn.key.take()?;
                 self.by_key.remove(&key);
                 self.drop_connection(net, id);
                 Some((key, PoolEnd::NotSent))
             }
             State::Busy { exchange, .. } => match exchange.end_of_stream(end) {
                 Ok(answer) => {
-                    let key = held.key.take()?;
+                    let key = conn.key.take()?;
                     self.by_key.remove(&key);
                     self.drop_connection(net, id);
                     Some((key, PoolEnd::Answered(answer)))
@@ -292,17 +292,17 @@
         id: ConnectionId,
         error: ExchangeError,
     ) -> Option<(K, PoolEnd)> {
-        let held = self.connections.get_mut(&id)?;
-        let key = held.key.take()?;
-        let sent_whole = !matches!(held.state, State::Busy { unsent: Some(_), .. });
+        let conn = self.connections.get_mut(&id)?;
+        let key = conn.key.take()?;
+        let sent_whole = !matches!(conn.state, State::Busy { unsent: Some(_), .. });
         self.by_key.remove(&key);
         self.drop_connection(net, id);
         Some((key, if sent_whole { PoolEnd::Failed(error) } else { PoolEnd::NotSent }))
     }
 
     fn drop_connection(&mut self, net: &mut Net, id: ConnectionId) {
-        if let Some(held) = self.connections.remove(&id) {
-            if let Some(idle) = self.idle.get_mut(&held.address) {
+        if let Some(conn) = self.connections.remove(&id) {
+            if let Some(idle) = self.idle.get_mut(&conn.address) {
                 idle.retain(|other| *other != id);
             }
         }
@@ -312,18 +312,18 @@
     /// Closes connections that were idle too long, and fails requests whose connection could not be
     /// opened in time.
     pub fn tick(&mut self, net: &mut Net, now: Millis) -> Vec<(K, PoolEnd)> {
-        let late = |held: &PooledConnection<K>| match held.state {
+        let is_expired = |conn: &PooledConnection<K>| match conn.state {
             State::Idle { since } => since + self.idle_limit_ms <= now,
             State::Opening { since, .. } | State::Probing { since } => {
                 since + CONNECT_TIMEOUT_MS <= now
             }
             State::Busy { .. } => false,
         };
-        let found = self.connections.iter().filter(|(_, held)| late(held));
+        let found = self.connections.iter().filter(|(_, conn)| is_expired(conn));
         let ids: Vec<ConnectionId> = found.map(|(id, _)| *id).collect();
         let mut ends = Vec::new();
         for id in ids {
-            let key = self.connections.get_mut(&id).and_then(|held| held.key.take());
+            let key = self.connections.get_mut(&id).and_then(|conn| conn.key.take());
             self.drop_connection(net, id);
             if let Some(key) = key {
                 self.by_key.remove(&key);
@@ -354,10 +354,10 @@
         let Some(UnsentBody { request, sent }) = unsent else {
             return;
         };
-        let left = &request.body[*sent..];
+        let remaining = &request.body[*sent..];
         // Sidecars of an earlier version accept the whole body at once.
-        let granted = interim.number(GRANT_HEADER).map_or(left.len(), |bytes| bytes as usize);
-        let piece = &left[..granted.min(left.len())];
+        let granted = interim.number(GRANT_HEADER).map_or(remaining.len(), |bytes| bytes as usize);
+        let piece = &remaining[..granted.min(remaining.len())];
         net.send(id, piece);
         *sent += piece.len();
         if *sent == request.body.len() {
--- a/crates/sidecar/src/runtime/dispatch.rs
+++ b/crates/sidecar/src/runtime/dispatch.rs
@@ -222,8 +222,8 @@
                 let mut headers = request.headers.clone();
                 headers.push(HOP_HEADER, hop.encode());
                 let outgoing = match offered {
-                    true => self.outgoing_offer(request, headers),
-                    false => self.outgoing(&request, &headers),
+                    true => self.encode_offer(request, headers),
+                    false => self.encode_request(&request, &headers),
                 };
                 let address = SocketAddr::from(to);
                 if let Some(end) =
@@ -245,7 +245,7 @@
         }
     }
 
-    pub(super) fn outgoing(&self, request: &Request, headers: &Headers) -> OutgoingRequest {
+    pub(super) fn encode_request(&self, request: &Request, headers: &Headers) -> OutgoingRequest {
         let mut bytes = Vec::with_capacity(request.body.len() + 512);
         write_request(&mut bytes, &request.method, &request.target, headers, &request.body);
         let expected = self.expected_id(request);
@@ -253,7 +253,7 @@
     }
 
     /// Builds a request whose body is sent only as the receiver grants it.
-    fn outgoing_offer(&self, request: Rc<Request>, mut headers: Headers) -> OutgoingRequest {
+    fn encode_offer(&self, request: Rc<Request>, mut headers: Headers) -> OutgoingRequest {
         headers.set("expect", "100-continue");
         let Request { method, target, body, .. } = &*request;
         let mut bytes = Vec::new();
@@ -271,7 +271,7 @@
         match action {
             JobAction::Run { job, mut request } => {
                 request.headers.remove_connection_headers();
-                let outgoing = self.outgoing(&request, &request.headers);
+                let outgoing = self.encode_request(&request, &request.headers);
                 let address = SocketAddr::from(self.settings.upstream);
                 if let Some(end) =
                     self.upstream.send_request(&mut self.net, address, job, outgoing, now)
@@ -332,9 +332,9 @@
             PoolEnd::Failed(error) => UpstreamEnd::Failed(error),
         };
         if let UpstreamEnd::Answered(answer) = &end {
-            let told = answer.response.headers.text(self.names.load);
-            if let Some(told) = told.and_then(|value| self.dialect.read_load(value)) {
-                self.jobs.note_load_report(told, now);
+            let report = answer.response.headers.text(self.names.load);
+            if let Some(report) = report.and_then(|value| self.dialect.read_load(value)) {
+                self.jobs.note_load_report(report, now);
             }
         }
         let actions = self.jobs.ended(job, end, now);
--- a/crates/sidecar/src/runtime/link.rs
+++ b/crates/sidecar/src/runtime/link.rs
@@ -10,16 +10,16 @@
     pub(super) fn measure_link(&mut self) {
         let now = self.now();
         let passed = self.net.take_traffic();
-        self.link.received(passed.received, now);
-        self.link.sent(passed.sent, now);
-        self.jobs.link_percent = self.link.percent(now);
+        self.link_meter.received(passed.received, now);
+        self.link_meter.sent(passed.sent, now);
+        self.jobs.link_percent = self.link_meter.percent(now);
         self.jobs.set_link_room(self.net.link_room());
     }
 
     /// Logs when large answers begin to wait for the link, and when they stop waiting.
     pub(super) fn watch_link(&mut self, now: Millis) {
         let wait_ms = self.jobs.link_wait_ms();
-        let Some(change) = self.link_watch.note(wait_ms, now) else {
+        let Some(change) = self.link_full_detector.note(wait_ms, now) else {
             return;
         };
         let waiting_bytes = self.net.link_room().waiting_bytes;
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -111,8 +111,8 @@
     metrics: Metrics,
     stop: StopPlan,
     last_request: Millis,
-    link: LinkMeter,
-    link_watch: LinkFullDetector,
+    link_meter: LinkMeter,
+    link_full_detector: LinkFullDetector,
     next_housekeeping: Millis,
     next_reload_check: Millis,
     /// Whether a configuration was requested before any was announced.
@@ -132,7 +132,7 @@
     reload: &ReloadSignal,
 ) -> Result<(), SidecarError> {
     let mut sidecar = Sidecar::start(settings, settings_path, names, dialect)?;
-    while !sidecar.is_over(stop) {
+    while !sidecar.should_exit(stop) {
         sidecar.run_once(reload);
     }
     info!("sidecar_stopped");
@@ -146,9 +146,9 @@
         names: HeaderNames,
         dialect: D,
     ) -> Result<Self, SidecarError> {
-        let link = LinkMeter::new(settings.link_mbps);
+        let link_meter = LinkMeter::new(settings.link_mbps);
         let ip = IpAddr::V4(settings.ip);
-        let mut net = Net::new(ip, link.bytes_per_ms()).context(PollSnafu)?;
+        let mut net = Net::new(ip, link_meter.bytes_per_ms()).context(PollSnafu)?;
         let listen = [
             (settings.outbound_listen, ServerKind::Caller),
             (settings.inbound_listen, ServerKind::Peer),
@@ -183,7 +183,7 @@
         let sample = LogSample::new(settings.log_sample);
         let registry = Registry::default();
         let locality = Locality::new(own, &settings.zone)
-            .with_link(link.bytes_per_ms())
+            .with_link(link_meter.bytes_per_ms())
             .with_regions(Regions::new(settings.regions.clone()));
         let calls = Calls::new(
             names,
@@ -202,7 +202,7 @@
             names,
             &settings.service,
             settings.drain_ms,
-            link.bytes_per_ms(),
+            link_meter.bytes_per_ms(),
             sample,
             job_metrics,
         );
@@ -234,8 +234,8 @@
             work: VecDeque::new(),
             metrics: Metrics::new(registry),
             last_request: 0,
-            link,
-            link_watch: LinkFullDetector::default(),
+            link_meter,
+            link_full_detector: LinkFullDetector::default(),
             next_housekeeping: 0,
             next_reload_check: RELOAD_CHECK_MS,
             asked_first_config: false,
@@ -265,7 +265,7 @@
         self.work.extend(ended.into_iter().map(Work::Job));
         self.do_work();
         self.jobs.hedges_barred_until = self.calls.hedges_barred_until();
-        self.acknowledge();
+        self.send_due_acknowledgements();
         self.links.send_poison_notices(&mut self.net, self.poison.take_untold());
         self.process_quotas(now);
         if now >= self.next_housekeeping {
--- a/crates/sidecar/src/runtime/registration.rs
+++ b/crates/sidecar/src/runtime/registration.rs
@@ -112,7 +112,7 @@
         record.state != InstanceState::Ready
     }
 
-    pub(super) fn acknowledge(&mut self) {
+    pub(super) fn send_due_acknowledgements(&mut self) {
         let now = self.now();
         let links = &self.links;
         let ready = self.registrar.ready(|sequence| links.acknowledged_by(sequence), now);
--- a/crates/sidecar/src/runtime/stopping.rs
+++ b/crates/sidecar/src/runtime/stopping.rs
@@ -11,7 +11,7 @@
 
 impl<D: RegistrationDialect> Sidecar<D> {
     /// Whether the process may exit: it was asked to stop and has finished its work.
-    pub(super) fn is_over(&mut self, stop: &StopSignal) -> bool {
+    pub(super) fn should_exit(&mut self, stop: &StopSignal) -> bool {
         let now = self.now();
         if stop.is_set() && self.stop.begin(now) {
             let (running, queued) = self.jobs.load();
@@ -29,7 +29,7 @@
                 false
             }
             StopPhase::Ending => {
-                self.end_calls(now);
+                self.end_remaining_calls(now);
                 false
             }
             StopPhase::Done => self.stop.is_at_limit(now) || !self.poll_more_events(),
@@ -51,7 +51,7 @@
     /// Gives the remaining calls their final answers shortly before the process exits. No call is
     /// queued for the local upstream any more (`Jobs::close` refused those), so ending one does not
     /// start another.
-    fn end_calls(&mut self, now: Millis) {
+    fn end_remaining_calls(&mut self, now: Millis) {
         let reading = self.servers.partial_calls();
         if self.calls.in_flight() == 0 && reading == 0 {
             return;
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -57,7 +57,7 @@
     /// Records which request is being received now. The timeout starts anew with each request: one
     /// that was answered before it was complete does not use up the time of the next one.
     fn note_reading(&mut self, request: Option<u64>, now: Millis) {
-        let same = self.reading.filter(|held| Some(held.request) == request);
+        let same = self.reading.filter(|conn| Some(conn.request) == request);
         self.reading = same.or(request.map(|request| Reading { request, since: now }));
     }
 }
@@ -73,13 +73,13 @@
     pub fn accepted(&mut self, net: &mut Net, id: ConnectionId, kind: ServerKind, now: Millis) {
         net.set_use(id, LinkUse::Answers);
         let core = ServerConnection::default();
-        let held = ServedConnection { kind, core, reading: None, idle_since: now };
-        self.connections.insert(id, held);
+        let conn = ServedConnection { kind, core, reading: None, idle_since: now };
+        self.connections.insert(id, conn);
     }
 
     /// The kind of a connection, if it is a server connection.
     pub fn kind(&self, id: ConnectionId) -> Option<ServerKind> {
-        self.connections.get(&id).map(|held| held.kind)
+        self.connections.get(&id).map(|conn| conn.kind)
     }
 
     /// Takes complete requests out of the received data.
@@ -90,22 +90,22 @@
         limits: ServerLimits,
         now: Millis,
     ) -> Vec<(Slot, Request)> {
-        let Some(held) = self.connections.get_mut(&id) else {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return Vec::new();
         };
         let Some(input) = net.input(id) else {
             return Vec::new();
         };
         let mut output = Vec::new();
-        let requests = held.core.receive(input, limits, &mut output);
-        let reading = held.core.reading(input);
-        held.note_reading(reading, now);
-        held.idle_since = now;
+        let requests = conn.core.receive(input, limits, &mut output);
+        let reading = conn.core.reading(input);
+        conn.note_reading(reading, now);
+        conn.idle_since = now;
         net.trim(id);
         if !output.is_empty() {
             net.send(id, &output);
         }
-        if held.core.unanswered() == 0 && requests.is_empty() && !output.is_empty() {
+        if conn.core.unanswered() == 0 && requests.is_empty() && !output.is_empty() {
             self.finish_if_done(net, id);
         }
         requests
@@ -113,7 +113,7 @@
 
     /// Finishes a connection whose input could not be parsed, after the error has been answered.
     fn finish_if_done(&mut self, net: &mut Net, id: ConnectionId) {
-        let over = self.connections.get(&id).is_some_and(|held| held.core.is_over());
+        let over = self.connections.get(&id).is_some_and(|conn| conn.core.is_over());
         if over {
             self.connections.remove(&id);
             net.finish(id);
@@ -127,16 +127,16 @@
 
     /// Number of bytes received of the current request body.
     pub fn body_bytes(&self, id: ConnectionId) -> u64 {
-        self.connections.get(&id).map_or(0, |held| held.core.body_bytes())
+        self.connections.get(&id).map_or(0, |conn| conn.core.body_bytes())
     }
 
     /// Allows the other side to send `bytes` more bytes of an offered body.
     pub fn grant(&mut self, net: &mut Net, id: ConnectionId, slot: Slot, bytes: u64) {
-        let Some(held) = self.connections.get_mut(&id) else {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
         let mut output = Vec::new();
-        held.core.allow(slot, GRANT_HEADER, bytes, &mut output);
+        conn.core.allow(slot, GRANT_HEADER, bytes, &mut output);
         net.send(id, &output);
     }
 
@@ -151,12 +151,12 @@
         close: bool,
         now: Millis,
     ) {
-        let Some(held) = self.connections.get_mut(&id) else {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
         let mut output = Vec::new();
-        let over = held.core.answer(slot, response, close, &mut output);
-        held.idle_since = now;
+        let over = conn.core.answer(slot, response, close, &mut output);
+        conn.idle_since = now;
         net.send(id, &output);
         if over {
             self.connections.remove(&id);
@@ -166,27 +166,27 @@
 
     /// Removes a connection that the other side ended; returns true if it was a server connection.
     pub fn ended(&mut self, net: &mut Net, id: ConnectionId) -> bool {
-        let held = self.connections.remove(&id);
-        if held.is_some() {
+        let conn = self.connections.remove(&id);
+        if conn.is_some() {
             net.close(id);
         }
-        held.is_some()
+        conn.is_some()
     }
 
     /// Ends connections that are too slow or have been idle for too long.
     pub fn tick(&mut self, net: &mut Net, times: impl Fn(ServerKind) -> ServerTimes, now: Millis) {
         let mut slow = Vec::new();
         let mut idle = Vec::new();
-        for (id, held) in &mut self.connections {
-            let limits = times(held.kind);
-            let unanswered = held.core.unanswered();
-            let reading = net.input(*id).and_then(|input| held.core.reading(input));
-            held.note_reading(reading, now);
-            if held.reading.is_some_and(|reading| reading.since + limits.header_ms <= now) {
+        for (id, conn) in &mut self.connections {
+            let limits = times(conn.kind);
+            let unanswered = conn.core.unanswered();
+            let reading = net.input(*id).and_then(|input| conn.core.reading(input));
+            conn.note_reading(reading, now);
+            if conn.reading.is_some_and(|reading| reading.since + limits.header_ms <= now) {
                 slow.push(*id);
             } else if unanswered == 0
-                && held.reading.is_none()
-                && held.idle_since + limits.idle_ms <= now
+                && conn.reading.is_none()
+                && conn.idle_since + limits.idle_ms <= now
             {
                 idle.push(*id);
             }
@@ -202,12 +202,12 @@
 
     /// Number of calls from callers and peers that have not arrived completely.
     pub fn partial_calls(&self) -> usize {
-        self.connections.values().filter(|held| held.has_partial_call()).count()
+        self.connections.values().filter(|conn| conn.has_partial_call()).count()
     }
 
     /// Answers the calls from callers and peers that have not arrived completely.
     pub fn time_out_partial_requests(&mut self, net: &mut Net) {
-        let found = self.connections.iter().filter(|(_, held)| held.has_partial_call());
+        let found = self.connections.iter().filter(|(_, conn)| conn.has_partial_call());
         let ids: Vec<ConnectionId> = found.map(|(id, _)| *id).collect();
         for id in ids {
             self.time_out(net, id);
@@ -216,12 +216,12 @@
 
     /// Answers a request that has not arrived completely with status 408; nothing more is read.
     fn time_out(&mut self, net: &mut Net, id: ConnectionId) {
-        let Some(held) = self.connections.get_mut(&id) else {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
-        held.reading = None;
+        conn.reading = None;
         let mut output = Vec::new();
-        let over = held.core.time_out(&mut output);
+        let over = conn.core.time_out(&mut output);
         net.send(id, &output);
         if over {
             self.connections.remove(&id);
