--- a/crates/sidecar/src/call_metrics.rs
+++ b/crates/sidecar/src/call_metrics.rs
@@ -1,13 +1,13 @@
-//! Figures that the cores take down while they work: how calls end, and where their time goes.
+//! Metrics recorded while calls are processed: outcomes and durations.
 
 use crate::Millis;
 use std::collections::BTreeSet;
 use telemetry::{CallCounters, CallLabels, Histogram, Registry};
 
 const MS_PER_SECOND: f64 = 1_000.0;
-/// Most routes counted apart since the start; the others share one name, so that a configuration
-/// whose routes change for months does not fill the memory.
-const MOST_ROUTES: usize = 4_000;
+/// Maximum number of routes with their own label since the process started. Further routes share
+/// one label, so that memory stays bounded if the routes of the configuration change for months.
+const MAX_ROUTES: usize = 4_000;
 const OTHER_ROUTES: &str = "other";
 
 /// How a call ended for its caller.
@@ -15,23 +15,23 @@
 pub(crate) enum CallOutcome {
     /// An upstream's answer was passed on.
     Answered,
-    /// An upstream's own failure was passed on.
+    /// A 5xx answer of an upstream was passed on.
     UpstreamFailed,
-    /// Refused after it was offered, or for want of upstreams; it did not run.
+    /// Refused by all upstreams it was offered to, or because none was available; it did not run.
     Refused,
-    /// Refused without being offered, because its like are late or fail.
+    /// Shed without being offered to an upstream, because similar calls are late or fail.
     HeldBack,
-    /// Refused without being offered, because its like crash upstreams.
+    /// Refused without being offered to an upstream, because its request is in quarantine.
     Quarantined,
-    /// Refused because it shows no key of a tenant where one is needed.
+    /// Refused because the required API key of a tenant is missing or invalid.
     Denied,
-    /// Refused because its tenant sends more than it may.
+    /// Refused because its tenant exceeded its quota.
     AboveQuota,
-    /// No proper answer; it may have run.
+    /// No upstream gave a definite answer; the call may have run.
     Failed,
-    /// Its time was over.
+    /// Its deadline passed.
     TimedOut,
-    /// Its caller left.
+    /// Its caller disconnected.
     Cancelled,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Figures of the outbound side.
+/// Metrics of the outbound side.
 #[derive(Clone)]
 pub struct CallMetrics {
     ended: CallCounters,
@@ -62,7 +62,7 @@
 }
 
 impl CallMetrics {
-    /// Registers them.
+    /// Registers the metrics.
     pub fn new(registry: &Registry) -> Self {
         CallMetrics {
             ended: registry.calls("sidecar_calls_ended", "Calls by route and outcome"),
@@ -75,10 +75,11 @@
         }
     }
 
+    /// Records the end of a call and how long it was held here.
     pub(crate) fn note_end(&mut self, route: &str, outcome: CallOutcome, held_ms: Millis) {
         let mut route = route;
         if !self.routes.contains(route) {
-            match self.routes.len() < MOST_ROUTES {
+            match self.routes.len() < MAX_ROUTES {
                 true => {
                     self.routes.insert(route.to_owned());
                 }
@@ -90,12 +91,13 @@
         self.call.observe(seconds(held_ms));
     }
 
+    /// Records the part of an answered call's time that was not spent with the upstream.
     pub(crate) fn note_added(&self, added_ms: Millis) {
         self.added.observe(seconds(added_ms));
     }
 }
 
-/// Figures of the inbound side.
+/// Metrics of the inbound side.
 #[derive(Clone)]
 pub struct JobMetrics {
     queue: Histogram,
@@ -103,7 +105,7 @@
 }
 
 impl JobMetrics {
-    /// Registers them.
+    /// Registers the metrics.
     pub fn new(registry: &Registry) -> Self {
         JobMetrics {
             queue: registry
@@ -112,10 +114,12 @@
         }
     }
 
+    /// Records how long a call waited before it was given to the upstream.
     pub(crate) fn note_start(&self, waited_ms: Millis) {
         self.queue.observe(seconds(waited_ms));
     }
 
+    /// Records how long a call was with the upstream.
     pub(crate) fn note_end(&self, spent_ms: Millis) {
         self.upstream.observe(seconds(spent_ms));
     }
--- a/crates/sidecar/src/calls/call.rs
+++ b/crates/sidecar/src/calls/call.rs
@@ -1,4 +1,4 @@
-//! One call with what became of its tries.
+//! One call with the state of its attempts.
 
 use super::{Attempt, Origin};
 use crate::tenants::{CompiledTenant, KeyHolder};
@@ -16,102 +16,106 @@
     pub request: Rc<Request>,
     pub attempt_id: String,
     pub route: String,
-    /// Its tenant, and the key by which that is known.
+    /// Its tenant and the API key that identified the tenant.
     pub holder: Option<KeyHolder>,
-    /// What became of that key since it was placed.
+    /// Change of that key by a newer configuration.
     pub key_change: Option<KeyChange>,
-    /// Rank of its route alone.
+    /// Rank of the route, without the tenant's.
     pub route_rank: u32,
     pub repeatable: bool,
     pub rank: u32,
-    pub most_arrivals: u32,
+    /// Maximum of `arrivals`; initially the `attempts` of the route.
+    pub max_arrivals: u32,
     pub target_ms: u64,
     pub service: String,
-    /// Whether it belongs to the share of a canary.
+    /// Whether the call goes to the canary version or the stable one.
     pub track: Track,
-    /// Whether an upstream ended while it ran this call or one like it.
+    /// Whether an upstream crashed while it ran this request or an identical one.
     pub suspect: bool,
-    /// Whether a run of the upstream beside this node waits for it.
-    pub begun: bool,
+    /// Whether a request running on the local upstream waits for it.
+    pub from_local_run: bool,
     pub arrived: Millis,
-    /// How long its caller waits, as it told; its route's timeout if it did not.
-    pub told_ms: u64,
+    /// How long the caller waits, from its deadline header; the route's timeout if there is none.
+    pub caller_timeout_ms: u64,
     pub deadline: Millis,
-    pub tries: u32,
+    /// Attempts started.
+    pub attempts: u32,
+    /// Attempts that may have run on an upstream.
     pub arrivals: u32,
-    pub current: Option<Try>,
-    /// A second try beside the current one.
-    pub hedge: Option<Try>,
-    /// When it is looked at whether a second try pays.
+    pub current: Option<ActiveAttempt>,
+    /// The second attempt in parallel to `current`.
+    pub hedge: Option<ActiveAttempt>,
+    /// When to consider a hedge.
     pub hedge_at: Option<Millis>,
     pub tried: Vec<NodeAddress>,
-    /// What each try came to, for the log of a failure.
-    pub trail: Vec<Step>,
+    /// Results of the ended attempts, logged if the call fails.
+    pub history: Vec<AttemptRecord>,
     pub parked_until: Option<Millis>,
-    /// When the first of the upstreams that refused it expects room for it.
+    /// Earliest time at which an upstream that refused the call expects a free slot.
     pub room_at: Option<Millis>,
-    /// An upstream's own failure, passed on if nothing better comes.
+    /// A 5xx answer of an upstream, passed on if no retry succeeds.
     pub fallback: Option<Response>,
 }
 
 impl Call {
-    /// Who asks for it.
+    /// Who made the call, for the retry budget.
     pub fn asked_by(&self) -> AskedBy {
-        match self.begun {
+        match self.from_local_run {
             true => AskedBy::Run,
             false => AskedBy::Caller,
         }
     }
 
-    /// Takes out a try that ended; the other one, if there is one, is the current one from then on.
-    pub fn take_try(&mut self, attempt: Attempt) -> Option<Try> {
-        let is_it = |held: &Option<Try>| held.is_some_and(|held| held.attempt == attempt);
-        if is_it(&self.hedge) {
+    /// Removes an attempt that ended. If the other one is still active, it becomes the current one.
+    pub fn take_attempt(&mut self, attempt: Attempt) -> Option<ActiveAttempt> {
+        let matches =
+            |active: &Option<ActiveAttempt>| active.is_some_and(|active| active.attempt == attempt);
+        if matches(&self.hedge) {
             return self.hedge.take();
         }
-        if !is_it(&self.current) {
+        if !matches(&self.current) {
             return None;
         }
         std::mem::replace(&mut self.current, self.hedge.take())
     }
 
-    /// Its tries without an end.
-    pub fn under_way(&self) -> impl Iterator<Item = Try> {
+    /// Attempts that have not ended.
+    pub fn active_attempts(&self) -> impl Iterator<Item = ActiveAttempt> {
         self.current.into_iter().chain(self.hedge)
     }
 
-    /// Its place among those that wait for an upstream.
+    /// Priority of the call among those that wait for an upstream.
     pub fn urgency(&self) -> Urgency {
-        match self.begun {
+        match self.from_local_run {
             true => Urgency::BEGUN,
             false => Urgency { rank: self.rank, target_ms: self.target_ms },
         }
     }
 }
 
-/// What a newer configuration did to the key of a call that has no answer yet.
+/// How a newer configuration changed the API key of a call that has no answer yet.
 #[derive(Clone, Debug)]
 pub(super) enum KeyChange {
-    /// Another tenant has it.
+    /// The key belongs to another tenant now.
     Moved(Rc<CompiledTenant>),
-    /// Nobody has it.
-    Gone {
+    /// The key belongs to no tenant any more.
+    Removed {
         /// Whether that configuration was confirmed as the newest.
         confirmed: bool,
     },
 }
 
-/// A try without an end.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Try {
+pub(super) struct ActiveAttempt {
     pub attempt: Attempt,
     pub to: NodeAddress,
     pub since: Millis,
 }
 
-/// What one try came to.
+/// Result of one attempt, with the load that the peer reported.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Step {
+pub(super) struct AttemptRecord {
     pub to: NodeAddress,
     pub ended_ms: u64,
     pub outcome: &'static str,
@@ -121,15 +125,15 @@
     pub limit: u32,
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for AttemptRecord {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Step { to, ended_ms, outcome, status, running, queued, limit } = self;
+        let AttemptRecord { to, ended_ms, outcome, status, running, queued, limit } = self;
         write!(formatter, "{to}@{ended_ms}ms:{outcome}/{status}:{running}+{queued}of{limit}")
     }
 }
 
-/// One word for a log.
-pub(super) fn outcome_word(outcome: HopOutcome) -> &'static str {
+/// Label of an outcome in log lines.
+pub(super) fn outcome_label(outcome: HopOutcome) -> &'static str {
     match outcome {
         HopOutcome::Answered => "answered",
         HopOutcome::Refused => "refused",
@@ -138,11 +142,11 @@
     }
 }
 
-/// What each try came to, for a log.
-pub(super) fn trail(steps: &[Step]) -> String {
-    let steps: Vec<String> = steps.iter().map(ToString::to_string).collect();
-    if steps.is_empty() {
+/// Formats the results of all attempts for a log line.
+pub(super) fn format_history(records: &[AttemptRecord]) -> String {
+    let records: Vec<String> = records.iter().map(ToString::to_string).collect();
+    if records.is_empty() {
         return "-".to_owned();
     }
-    steps.join(",")
+    records.join(",")
 }
--- a/crates/sidecar/src/calls/credit.rs
+++ b/crates/sidecar/src/calls/credit.rs
@@ -1,4 +1,4 @@
-//! Credits of tenants' quotas: who goes on, who waits for one, and what is answered without one.
+//! Credits from tenant quotas: decides which calls proceed, which wait and which are refused.
 
 use super::{refusal, CallAction, Calls, Origin};
 use crate::call_metrics::CallOutcome;
@@ -9,32 +9,33 @@
 use ::quota::{Outcome, Refusal};
 use http1::{Request, Response};
 
-/// Answer to a call of a tenant that sends more than it may.
+/// Status of the answer to a call above its tenant's quota.
 const ABOVE_QUOTA_STATUS: u16 = 429;
 
-/// Whether a call has its credit.
+/// Whether a call has requested a credit from its tenant's quota.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Credit {
-    /// It has just come.
-    Wanted,
-    /// It waited, and this became of it.
+pub(super) enum CreditState {
+    /// The call is new and has not requested one.
+    NotRequested,
+    /// The call waited for a credit, with this outcome.
     Settled(Outcome),
 }
 
 impl Calls {
-    /// Goes on with the calls that waited for a credit and need not wait any more.
+    /// Resumes the calls whose wait for a credit is over.
     pub fn settle_quotas(&mut self, config: &Config, now: Millis) -> Vec<CallAction> {
         let mut actions = Vec::new();
         for (call, outcome) in self.quota.settle(now) {
-            actions.extend(self.begin_with(Credit::Settled(outcome), call, config, now));
+            actions.extend(self.begin_with(CreditState::Settled(outcome), call, config, now));
         }
         actions
     }
 
-    /// Gives a call back that may go on. One that may not is answered; one that waits is kept.
+    /// Returns the request if the call may proceed. Otherwise returns its refusal, or nothing while
+    /// it waits for a credit.
     pub(super) fn take_credit(
         &mut self,
-        credit: Credit,
+        credit: CreditState,
         holder: Option<&KeyHolder>,
         call: WaitingCall,
         route: &str,
@@ -43,11 +44,11 @@
         let Some(holder) = holder else {
             return Ok(call.request);
         };
-        let entered = match credit {
-            Credit::Wanted => self.quota.enter(&holder.tenant, call, now),
-            Credit::Settled(outcome) => Some((call, outcome)),
+        let decided = match credit {
+            CreditState::NotRequested => self.quota.admit(&holder.tenant, call, now),
+            CreditState::Settled(outcome) => Some((call, outcome)),
         };
-        match entered {
+        match decided {
             None => Err(Vec::new()),
             Some((call, Outcome::Admitted)) => Ok(call.request),
             Some((call, Outcome::Refused(refused))) => {
@@ -60,14 +61,14 @@
         }
     }
 
-    /// A call that took a credit reached no upstream.
+    /// Returns the credit of a call that reached no upstream.
     pub(super) fn return_credit(&mut self, holder: Option<&KeyHolder>, now: Millis) {
         if let Some(holder) = holder {
             self.quota.refund(&holder.tenant, now);
         }
     }
 
-    /// Answers the calls that wait for a credit, because the process ends.
+    /// Refuses the calls that wait for a credit, because the process is stopping.
     pub(super) fn refuse_waiting(&mut self, retry_after_ms: u64) -> Vec<CallAction> {
         let waiting = self.quota.take_waiting();
         self.counts.refused += waiting.len() as u64;
@@ -75,8 +76,8 @@
     }
 }
 
-/// The answer to a call above its tenant's quota: it has not run. While no coordinator answers it is
-/// not known to be above, and the answer does not say so.
+/// Answers a call that got no credit; it has not run. If no coordinator replied, the call is not
+/// known to be above its quota, so the answer is a plain refusal instead of 429.
 fn above_quota(origin: Origin, refused: Refusal) -> CallAction {
     let Refusal { retry_after_ms, told_ms_ago } = refused;
     if told_ms_ago.is_none() {
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -1,9 +1,9 @@
-//! How tries end, and what follows: another try, or the final answer.
+//! Handles the end of attempts: starts another attempt or gives the final answer.
 
-use super::call::{outcome_word, trail, Call, Step, Try};
+use super::call::{format_history, outcome_label, ActiveAttempt, AttemptRecord, Call};
 use super::{
-    refusal, Attempt, AttemptEnd, CallAction, CallId, Calls, NO_UPSTREAM_WAIT_MS,
-    SHORTEST_RETRY_AFTER_MS,
+    refusal, Attempt, AttemptEnd, CallAction, CallId, Calls, MIN_RETRY_AFTER_MS,
+    NO_UPSTREAM_WAIT_MS,
 };
 use crate::call_metrics::CallOutcome;
 use crate::Millis;
@@ -15,12 +15,14 @@
 const FIRST_SERVER_ERROR: u16 = 500;
 
 impl Calls {
-    pub(super) fn without_upstream(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
+    /// Handles a call for which no upstream was chosen: parks it for a short time or gives it up.
+    pub(super) fn handle_no_upstream(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
         let Some(call) = self.calls.get_mut(&id) else {
             return Vec::new();
         };
         call.current = None;
-        // One that comes up in a moment is waited for; an evacuated zone does not come back so soon.
+        // Waits for an upstream that may be restarting; an evacuated zone does not come back so
+        // soon.
         let none_live =
             !self.view.has_live(&call.service) && !self.view.is_evacuated(&call.service);
         if none_live && call.arrivals == 0 {
@@ -31,14 +33,15 @@
                 return Vec::new();
             }
         }
-        // What it was told itself: what others were told a while ago is nearly over, and a crowd that
-        // comes back by that is refused again.
+        // Prefers the time from this call's own refusals. Refusals that other calls received
+        // earlier have nearly expired, and calls that all retry at that time would be refused
+        // again.
         let room_at = call.room_at.or_else(|| self.view.room_at(&call.service, now));
-        let wait = room_at.map_or(SHORTEST_RETRY_AFTER_MS * 4, |at| at.saturating_sub(now));
+        let wait = room_at.map_or(MIN_RETRY_AFTER_MS * 4, |at| at.saturating_sub(now));
         self.give_up(id, wait, now)
     }
 
-    /// The final answer of a call that nothing more is tried for.
+    /// Stops the attempts of a call and gives its final answer.
     pub(super) fn give_up(
         &mut self,
         id: CallId,
@@ -49,12 +52,12 @@
             return Vec::new();
         };
         let mut actions = self.abort(&call);
-        actions.push(self.last_word(call, retry_after_ms, now));
+        actions.push(self.final_answer(call, retry_after_ms, now));
         actions
     }
 
-    /// What the caller is told in the end.
-    fn last_word(&mut self, call: Call, retry_after_ms: u64, now: Millis) -> CallAction {
+    /// The final answer of a call that no upstream answered successfully.
+    fn final_answer(&mut self, call: Call, retry_after_ms: u64, now: Millis) -> CallAction {
         if let Some(response) = call.fallback.clone() {
             self.counts.answered += 1;
             self.note_outcome(&call, CallOutcome::UpstreamFailed, now);
@@ -68,7 +71,8 @@
             self.pressure.note(&call.service, call.urgency(), CallEnd::Missed, now);
             warn!(
                 id = %call.attempt_id, route = %call.route, service = %call.service,
-                tries = call.tries, retry_after_ms, held_ms, trail = %trail(&call.trail),
+                tries = call.attempts, retry_after_ms, held_ms,
+                trail = %format_history(&call.history),
                 verdict = "not-run", "call_refused"
             );
             return refusal(call.origin, retry_after_ms);
@@ -77,23 +81,25 @@
         self.note_outcome(&call, CallOutcome::Failed, now);
         warn!(
             id = %call.attempt_id, route = %call.route, service = %call.service,
-            tries = call.tries, arrivals = call.arrivals, held_ms, trail = %trail(&call.trail),
+            tries = call.attempts, arrivals = call.arrivals, held_ms,
+            trail = %format_history(&call.history),
             verdict = "may-have-run",
             "call_failed"
         );
         CallAction::Answer { origin: call.origin, response: Response::empty(502) }
     }
 
-    /// Takes in how a try ended; late news of a try that was given up change nothing.
+    /// Handles the end of an attempt. Late results of abandoned attempts are ignored.
     pub fn ended(&mut self, attempt: Attempt, end: AttemptEnd, now: Millis) -> Vec<CallAction> {
         let call = self.calls.get_mut(&attempt.call);
-        let Some(Try { to, .. }) = call.and_then(|call| call.take_try(attempt)) else {
+        let Some(ActiveAttempt { to, .. }) = call.and_then(|call| call.take_attempt(attempt))
+        else {
             return Vec::new();
         };
         if let Some(upstream) = self.view.get_mut(&to) {
             upstream.outstanding = upstream.outstanding.saturating_sub(1);
         }
-        self.note_step(attempt.call, to, &end, now);
+        self.record_attempt(attempt.call, to, &end, now);
         match end {
             AttemptEnd::NotSent => {
                 self.note_failure(&to, attempt, "not_sent", now);
@@ -102,28 +108,35 @@
             AttemptEnd::Lost => {
                 self.note_failure(&to, attempt, "lost", now);
                 self.note_arrival(attempt.call);
-                self.repeat_or_give_up(attempt.call, now)
+                self.retry_or_give_up(attempt.call, now)
             }
             AttemptEnd::Replied(reply, response) => self.replied(attempt, to, reply, response, now),
         }
     }
 
-    pub(super) fn note_step(&mut self, id: CallId, to: NodeAddress, end: &AttemptEnd, now: Millis) {
+    pub(super) fn record_attempt(
+        &mut self,
+        id: CallId,
+        to: NodeAddress,
+        end: &AttemptEnd,
+        now: Millis,
+    ) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         let ended_ms = now.saturating_sub(call.arrived);
-        let step = Step { to, ended_ms, outcome: "", status: 0, running: 0, queued: 0, limit: 0 };
-        call.trail.push(match end {
-            AttemptEnd::NotSent => Step { outcome: "not-sent", ..step },
-            AttemptEnd::Lost => Step { outcome: "lost", ..step },
-            AttemptEnd::Replied(reply, response) => Step {
-                outcome: outcome_word(reply.outcome),
+        let record =
+            AttemptRecord { to, ended_ms, outcome: "", status: 0, running: 0, queued: 0, limit: 0 };
+        call.history.push(match end {
+            AttemptEnd::NotSent => AttemptRecord { outcome: "not-sent", ..record },
+            AttemptEnd::Lost => AttemptRecord { outcome: "lost", ..record },
+            AttemptEnd::Replied(reply, response) => AttemptRecord {
+                outcome: outcome_label(reply.outcome),
                 status: response.status,
                 running: reply.running,
                 queued: reply.queued,
                 limit: reply.limit,
-                ..step
+                ..record
             },
         });
     }
@@ -181,6 +194,7 @@
                     upstream.note_success();
                     upstream.note_time(f64::from(reply.spent_ms), usual_ms, now);
                     let (spent_ms, pace) = (f64::from(reply.spent_ms), upstream.pace(now));
+                    // 0 means that the upstream did not report a pace.
                     let told_pace = match reply.told_pace_percent {
                         0 => 1.0,
                         percent => f64::from(percent) / 100.0,
@@ -194,7 +208,7 @@
                 HopOutcome::Refused => {
                     upstream.note_full(urgency, u64::from(reply.retry_after_ms), now);
                 }
-                HopOutcome::Rejected => upstream.note_full(urgency, SHORTEST_RETRY_AFTER_MS, now),
+                HopOutcome::Rejected => upstream.note_full(urgency, MIN_RETRY_AFTER_MS, now),
                 HopOutcome::Unknown => {}
             }
         }
@@ -210,36 +224,44 @@
                 self.note_arrival(id);
                 self.answered(attempt, response, now)
             }
-            HopOutcome::Refused if self.is_under_way(id) => {
-                self.refused_beside_another(id, &reply, now);
+            HopOutcome::Refused if self.has_active_attempt(id) => {
+                self.refused_while_other_active(id, &reply, now);
                 Vec::new()
             }
-            HopOutcome::Refused if reply.quarantine_left_ms > 0 => self.kept_away(id, &reply, now),
+            HopOutcome::Refused if reply.quarantine_left_ms > 0 => {
+                self.refused_in_quarantine(id, &reply, now)
+            }
             HopOutcome::Refused => self.place(id, now),
-            HopOutcome::Rejected if is_callers_fault(&response) => self.pass_on(id, response, now),
+            HopOutcome::Rejected if is_client_error(&response) => self.pass_on(id, response, now),
             HopOutcome::Rejected => self.place_within_budget(id, now),
             HopOutcome::Unknown => {
                 self.note_arrival(id);
-                self.repeat_or_give_up(id, now)
+                self.retry_or_give_up(id, now)
             }
         }
     }
 
-    /// One of two tries did not run. If that is because the call crashes upstreams, what the other
-    /// comes to is its end.
-    fn refused_beside_another(&mut self, id: CallId, reply: &HopReply, now: Millis) {
+    /// Handles the refusal of one attempt while the other is active. If the request is in
+    /// quarantine, the other attempt is the last one.
+    fn refused_while_other_active(&mut self, id: CallId, reply: &HopReply, now: Millis) {
         let Some(call) = self.calls.get_mut(&id).filter(|_| reply.quarantine_left_ms > 0) else {
             return;
         };
         if self.poison.note_quarantine_refusal(&call.service, &call.request, reply, now) {
-            call.most_arrivals = call.arrivals;
+            call.max_arrivals = call.arrivals;
         }
     }
 
-    /// A call whose like crash upstreams, as one of their sidecars knows and this one did not: others
-    /// that have not heard of it are not tried. One that has yet to hear that it was cleared is passed
-    /// over for others.
-    fn kept_away(&mut self, id: CallId, reply: &HopReply, now: Millis) -> Vec<CallAction> {
+    /// Handles a refusal by a peer that has the request in quarantine, which this sidecar did not
+    /// know. The call ends here: peers that lack the information would run it, and their upstreams
+    /// might crash. If that peer has only not been told yet that the request was cleared, another
+    /// upstream is chosen.
+    fn refused_in_quarantine(
+        &mut self,
+        id: CallId,
+        reply: &HopReply,
+        now: Millis,
+    ) -> Vec<CallAction> {
         let Some(call) = self.calls.get(&id) else {
             return Vec::new();
         };
@@ -276,7 +298,7 @@
         match Some(call).filter(|call| worthwhile && call.repeatable) {
             Some(call) => {
                 call.fallback = Some(response);
-                self.repeat_or_give_up(id, now)
+                self.retry_or_give_up(id, now)
             }
             None => {
                 self.note_hedge_end(attempt, now);
@@ -286,7 +308,7 @@
         }
     }
 
-    /// Takes in whether an upstream's answer helps the caller.
+    /// Records whether an upstream answered successfully within the target latency.
     fn note_in_time(&mut self, id: CallId, failed: bool, now: Millis) {
         if let Some(call) = self.calls.get(&id) {
             let in_time = !failed && now <= call.arrived + call.target_ms;
@@ -315,13 +337,14 @@
         actions
     }
 
-    /// Sends a call that may have run once more, if it may run twice and there is room for it.
-    pub(super) fn repeat_or_give_up(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
+    /// Retries a call that may have run, if it is repeatable, enough time is left, and neither the
+    /// route's limit nor the retry budget is exhausted.
+    pub(super) fn retry_or_give_up(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
         let Some(call) = self.calls.get(&id).filter(|call| call.current.is_none()) else {
             return Vec::new();
         };
         let worthwhile = now + (self.usual_ms(call) as u64) < call.deadline;
-        let allowed = call.repeatable && call.arrivals < call.most_arrivals && worthwhile;
+        let allowed = call.repeatable && call.arrivals < call.max_arrivals && worthwhile;
         if !allowed {
             return self.give_up(id, 0, now);
         }
@@ -329,21 +352,22 @@
     }
 
     pub(super) fn place_within_budget(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
-        if self.is_under_way(id) {
+        if self.has_active_attempt(id) {
             return Vec::new();
         }
-        if !self.may_repeat(id, now) {
-            return self.give_up(id, SHORTEST_RETRY_AFTER_MS, now);
+        if !self.may_retry(id, now) {
+            return self.give_up(id, MIN_RETRY_AFTER_MS, now);
         }
         if let Some(call) = self.calls.get(&id).filter(|call| call.arrivals == 0) {
-            // The rejected arrival counts at the service, though the call did not run there.
+            // The rejected attempt is charged to the retry budget although the call did not run.
             self.budget.note_repeat(&call.service, call.asked_by(), now);
         }
         self.place(id, now)
     }
 }
 
-/// An upstream that rejects what the caller sent would be followed by all others.
-fn is_callers_fault(response: &Response) -> bool {
+/// Whether a rejection is due to the request itself, so that any other upstream would reject it
+/// too. Excludes 421 and 429, which concern the upstream that answered.
+fn is_client_error(response: &Response) -> bool {
     matches!(response.status, 400..=420 | 422..=428 | 430..=499)
 }
--- a/crates/sidecar/src/calls/hedge.rs
+++ b/crates/sidecar/src/calls/hedge.rs
@@ -1,38 +1,40 @@
-//! A second try beside one that takes longer than nearly all of its like.
+//! Hedging: a second attempt in parallel to one that takes longer than nearly all similar calls.
 //!
-//! Only of calls that may run twice, onto an upstream with an idle slot, while the service has room and
-//! the bound on repeats allows it. The first good answer is passed on, the other try is stopped; a
-//! try that fails does not end the other.
+//! Only repeatable calls are hedged, and only to an upstream with an idle slot while the service
+//! has free slots and the retry budget allows it. The first successful answer is passed on and the
+//! other attempt is aborted; a failed attempt does not end the other.
 
-use super::call::{Call, Try};
+use super::call::{ActiveAttempt, Call};
 use super::{Attempt, CallAction, CallId, Calls};
 use crate::Millis;
 use placement::HedgePlan;
 use tracing::info;
 
-/// Part of a service's slots that must be free for second tries: while fewer are, each would take one
-/// from a call that has none, and by what senders know of each other it is sent too often.
-const HEDGE_ROOM_PART: f64 = 0.25;
+/// Fraction of a service's slots that must be free for hedging. With fewer, a hedge would take a
+/// slot from a call that has none, and senders would hedge too often because each knows little
+/// about the others.
+const HEDGE_MIN_FREE_FRACTION: f64 = 0.25;
 
-/// Most that a call and its answer move, bytes, for a second try: as long as a body that is sent unasked.
-/// Larger ones wait for links, and two of them would wait for two.
-const MOST_HEDGED_BYTES: f64 = 8.0 * 1024.0;
+/// Maximum size of a call and its answer together for hedging, bytes: the same limit as for bodies
+/// that are sent without an offer. Larger ones wait for link capacity, and a hedge would wait on a
+/// second link.
+const MAX_HEDGED_BYTES: f64 = 8.0 * 1024.0;
 
 impl Calls {
-    /// Takes down when it is looked at whether a second try of a call, just sent, pays.
+    /// Schedules when to consider a hedge for a call that was just sent.
     pub(super) fn plan_hedge(&mut self, id: CallId, offered: bool, now: Millis) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
         let large =
-            self.times.moved_bytes(&call.route).is_some_and(|bytes| bytes > MOST_HEDGED_BYTES);
+            self.times.moved_bytes(&call.route).is_some_and(|bytes| bytes > MAX_HEDGED_BYTES);
         if !self.hedging || offered || large || !may_be_hedged(call) {
             return;
         }
-        let pace = call.current.and_then(|held| self.view.get(&held.to));
+        let upstream = call.current.and_then(|current| self.view.get(&current.to));
         let plan = HedgePlan {
             usual_ms: self.usual_ms(call),
-            pace: pace.map_or(1.0, |upstream| upstream.pace(now)),
+            pace: upstream.map_or(1.0, |upstream| upstream.pace(now)),
             spread: self.times.spread(&call.route),
             target_ms: (call.arrived + call.target_ms).saturating_sub(now) as f64,
             deadline_ms: call.deadline.saturating_sub(now) as f64,
@@ -42,13 +44,13 @@
         };
         let due = now + delay_ms as u64;
         if let Some(call) = self.calls.get_mut(&id) {
-            let former = call.hedge_at.replace(due);
-            self.forget_hedge(id, former);
+            let previous = call.hedge_at.replace(due);
+            self.forget_hedge(id, previous);
             self.hedges_due.insert((due, id));
         }
     }
 
-    /// What a call's route is known to move, bytes.
+    /// Usual size of a call on this call's route and its answer, bytes; 0 if unknown.
     fn moved_bytes(&self, id: CallId) -> f64 {
         let route = self.calls.get(&id).map(|call| call.route.as_str());
         route.and_then(|route| self.times.moved_bytes(route)).unwrap_or(0.0)
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Sends the second tries that are due.
+    /// Sends the hedges that are due.
     pub(super) fn tick_hedges(&mut self, now: Millis) -> Vec<CallAction> {
         let mut actions = Vec::new();
         while let Some((due, id)) = self.hedges_due.first().copied() {
@@ -73,20 +75,21 @@
         actions
     }
 
-    /// Sends a second try of a call, if there is room for it.
+    /// Sends a second attempt of a call if the free slots and the retry budget allow it.
     fn hedge(&mut self, id: CallId, now: Millis) -> Option<CallAction> {
         let call = self.calls.get_mut(&id)?;
         call.hedge_at = None;
         let first = call.current?;
         let (service, asked_by) = (call.service.clone(), call.asked_by());
-        let roomy = self.view.free_part(&service, now).is_some_and(|free| free >= HEDGE_ROOM_PART);
-        if !roomy || !self.budget.allows_hedge(&service, asked_by, self.view.nodes(), now) {
+        let has_room =
+            self.view.free_part(&service, now).is_some_and(|free| free >= HEDGE_MIN_FREE_FRACTION);
+        if !has_room || !self.budget.allows_hedge(&service, asked_by, self.view.nodes(), now) {
             return None;
         }
         let mut random = self.random.clone();
         let call = self.calls.get(&id).filter(|call| may_be_hedged(call))?;
         let usual_ms = self.usual_ms(call);
-        let chosen = self.view.choose_idle(&self.wanted(call, now), now, &mut random);
+        let chosen = self.view.choose_idle(&self.placement_request(call, now), now, &mut random);
         if now + usual_ms as u64 >= call.deadline {
             return None;
         }
@@ -94,13 +97,13 @@
         let to = chosen?;
         let call = &self.calls[&id];
         let mut hop = self.hop_request(call, &to, usual_ms, now);
-        // Where it would wait, it is of no use.
+        // A hedge that has to queue is useless.
         hop.patience_ms = 0;
         (hop.repeat, hop.hedge) = (true, true);
         let call = self.calls.get_mut(&id)?;
-        call.tries += 1;
-        let attempt = Attempt { call: id, number: call.tries };
-        call.hedge = Some(Try { attempt, to, since: now });
+        call.attempts += 1;
+        let attempt = Attempt { call: id, number: call.attempts };
+        call.hedge = Some(ActiveAttempt { attempt, to, since: now });
         call.tried.push(to);
         let request = call.request.clone();
         if self.sample.takes(&call.attempt_id) {
@@ -119,18 +122,19 @@
         Some(CallAction::Send { attempt, to, request, hop, offered })
     }
 
-    /// Whether a call has a try without an end.
-    pub(super) fn is_under_way(&self, id: CallId) -> bool {
+    /// Whether a call has an attempt that has not ended.
+    pub(super) fn has_active_attempt(&self, id: CallId) -> bool {
         self.calls.get(&id).is_some_and(|call| call.current.is_some())
     }
 
-    /// Takes down that one of two tries brought the answer. The other would have taken longer than it
-    /// did: what is usual, and the speed of its upstream, are learned from that, too.
+    /// Records which of two attempts brought the answer. If the hedge won, the elapsed time of the
+    /// first attempt is a lower bound of its duration, from which the usual time of the route and
+    /// the pace of that upstream are updated.
     pub(super) fn note_hedge_end(&mut self, winner: Attempt, now: Millis) {
         let Some(call) = self.calls.get(&winner.call) else {
             return;
         };
-        let Some(Try { attempt, to, since }) = call.current else {
+        let Some(ActiveAttempt { attempt, to, since }) = call.current else {
             return;
         };
         let won = winner.number > attempt.number;
@@ -150,11 +154,11 @@
     }
 }
 
-/// Whether a second try of a call may be sent beside its first, whatever the room for it: it may run
-/// twice, its route allows one more upstream, nothing says that it crashes upstreams, and its key is
-/// still that of the tenant it was sent for.
+/// Whether a call qualifies for a hedge, regardless of free slots: it is repeatable, its route
+/// allows one more upstream, it is not suspected of crashing upstreams, and its key still belongs
+/// to the tenant it was sent for.
 fn may_be_hedged(call: &Call) -> bool {
-    let one_more = call.arrivals + 2 <= call.most_arrivals;
-    let settled = !call.suspect && call.key_change.is_none();
-    call.repeatable && one_more && settled && call.hedge.is_none()
+    let one_more = call.arrivals + 2 <= call.max_arrivals;
+    let unsuspicious = !call.suspect && call.key_change.is_none();
+    call.repeatable && one_more && unsuspicious && call.hedge.is_none()
 }
--- a/crates/sidecar/src/calls/keys.rs
+++ b/crates/sidecar/src/calls/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of callers: what is answered without one, and what becomes of waiting calls whose key is
-//! taken away or moved.
+//! API keys of callers: denies calls without a valid key, and handles waiting calls whose key was
+//! removed or moved to another tenant.
 
 use super::call::KeyChange;
 use super::{refusal, CallAction, CallId, Calls, Origin, UNREADY_RETRY_AFTER_MS};
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Answer to a call that shows no key of a tenant where one is needed.
+/// Status of the answer to a call without the required API key of a tenant.
 const DENIED_STATUS: u16 = 401;
 
 impl Calls {
-    /// The answer to a call without a proper key: that, if what is held is known to be the newest;
-    /// a newer generation may have the key.
+    /// Answers a call without a valid key: 401 if the local configuration is known to be the
+    /// newest, otherwise a refusal, because a newer generation may have the key.
     pub(super) fn deny(
         &mut self,
         origin: Origin,
@@ -30,8 +30,8 @@
         let id = request.headers.text(self.names.attempt_id).unwrap_or("-");
         let (generation, current) = (config.generation(), config.is_current(now));
         if self.denials_logged.takes(now) || self.sample.takes(id) {
-            let shown = request.headers.get(self.names.api_key);
-            let key = shown.map(|key| KeyFingerprint::of(key.trim_ascii()).to_string());
+            let presented = request.headers.get(self.names.api_key);
+            let key = presented.map(|key| KeyFingerprint::of(key.trim_ascii()).to_string());
             let key = key.as_deref().unwrap_or("-");
             info!(
                 %id, %route, reason = %problem, generation, current, %key, verdict = "not-run",
@@ -48,25 +48,25 @@
         CallAction::Answer { origin, response: self.denial() }
     }
 
-    /// It names what is asked for, as every 401 has to (RFC 9110, section 15.5.2).
+    /// A 401 response that names the required header, as every 401 must (RFC 9110, section 15.5.2).
     fn denial(&self) -> Response {
         Response::empty(DENIED_STATUS).with_header("WWW-Authenticate", self.names.api_key)
     }
 
-    /// Takes in that a configuration may be in force since. Calls that wait are looked up again, so
-    /// that none is placed under a tenant that has lost its key.
+    /// Called when a new configuration may be in force. Looks up the keys of all calls again, so
+    /// that no call is sent for a tenant that no longer has the key.
     pub fn note_configuration(&mut self, config: &Config, now: Millis) {
         if self.keys_checked == config.generation() {
             return;
         }
         self.keys_checked = config.generation();
-        let known: Vec<CallId> = self.calls.keys().copied().collect();
-        for id in known {
-            self.check_key_again(id, config, now);
+        let ids: Vec<CallId> = self.calls.keys().copied().collect();
+        for id in ids {
+            self.recheck_key(id, config, now);
         }
     }
 
-    fn check_key_again(&mut self, id: CallId, config: &Config, now: Millis) {
+    fn recheck_key(&mut self, id: CallId, config: &Config, now: Millis) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -80,27 +80,30 @@
                 None
             }
             Some(tenant) => Some(KeyChange::Moved(tenant.clone())),
-            None => Some(KeyChange::Gone { confirmed: config.is_current(now) }),
+            None => Some(KeyChange::Removed { confirmed: config.is_current(now) }),
         };
     }
 
-    /// Before a call is placed: one whose key moved goes on under the tenant that has it now, unless
-    /// it may have run under the other. Ends it if it may not be placed.
-    pub(super) fn settle_key(&mut self, id: CallId, now: Millis) -> Option<Vec<CallAction>> {
+    /// Applies a key change before a call is placed. A call whose key moved continues under the new
+    /// tenant, unless it may have run under the old one. Returns actions if the call must end
+    /// instead.
+    pub(super) fn apply_key_change(&mut self, id: CallId, now: Millis) -> Option<Vec<CallAction>> {
         let call = self.calls.get_mut(&id)?;
         let change = call.key_change.take()?;
         let never_ran = call.arrivals == 0;
         match change {
             KeyChange::Moved(tenant) if never_ran => {
-                self.move_to(id, tenant, now);
+                self.move_to_tenant(id, tenant, now);
                 None
             }
-            KeyChange::Gone { confirmed: true } if never_ran => Some(self.end_without_key(id, now)),
+            KeyChange::Removed { confirmed: true } if never_ran => {
+                Some(self.end_without_key(id, now))
+            }
             _ => Some(self.give_up(id, UNREADY_RETRY_AFTER_MS, now)),
         }
     }
 
-    fn move_to(&mut self, id: CallId, tenant: Rc<CompiledTenant>, now: Millis) {
+    fn move_to_tenant(&mut self, id: CallId, tenant: Rc<CompiledTenant>, now: Millis) {
         let Some(mut call) = self.calls.remove(&id) else {
             return;
         };
@@ -110,11 +113,11 @@
             self.quota.charge(&tenant, now);
             holder.tenant = tenant;
         }
-        self.name_tenant(Rc::make_mut(&mut call.request), call.holder.as_ref());
+        self.set_tenant_header(Rc::make_mut(&mut call.request), call.holder.as_ref());
         self.calls.insert(id, call);
     }
 
-    /// The answer to a call that never ran, and whose key nobody has any more.
+    /// Denies a call that never ran and whose key was removed.
     fn end_without_key(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
         let Some(call) = self.remove(id) else {
             return Vec::new();
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -1,7 +1,8 @@
-//! The outbound side: what becomes of each call of a caller on this machine.
+//! The outbound side: handles each call from callers on this machine until its final answer.
 //!
-//! Pure: events come in with the time, actions go out. A call has one final answer, given at once
-//! when it is decided; it has one attempt at a time, and at most one hedge beside it.
+//! Does no I/O: takes events with the current time and returns actions. A call gets exactly one
+//! final answer, as soon as that is decided. It has one attempt in flight at a time, plus at most
+//! one hedge.
 
 mod call;
 mod credit;
@@ -13,7 +14,7 @@
 mod time;
 
 use self::call::Call;
-use self::credit::Credit;
+use self::credit::CreditState;
 use crate::call_metrics::{CallMetrics, CallOutcome};
 use crate::config::Config;
 use crate::dialect::HeaderNames;
@@ -35,47 +36,49 @@
 use crate::sample::{LogAllowance, LogSample};
 use crate::Millis;
 
-/// Names a call on this node.
+/// Identifies a call on this node.
 pub type CallId = u64;
 
-/// Longest wait for an upstream of a service that has none, milliseconds: restarted upstreams are told
-/// of within some tenths of a second, and a target of a second still has room for the call after it.
+/// Maximum wait for an upstream of a service that has none, milliseconds. Restarted upstreams are
+/// announced within a few tenths of a second, and a target latency of a second still leaves time
+/// for the call itself.
 const NO_UPSTREAM_WAIT_MS: u64 = 400;
-/// Time between two looks for an upstream meanwhile, milliseconds: small against that wait.
-const PARKED_LOOK_MS: u64 = 20;
-const SHORTEST_RETRY_AFTER_MS: u64 = 50;
-const LONGEST_RETRY_AFTER_MS: u64 = 2_000;
-/// Retry-After of calls that are held back because their like fail, milliseconds.
+/// Interval at which parked calls look for an upstream, milliseconds: short compared to that wait.
+const PARKED_POLL_MS: u64 = 20;
+const MIN_RETRY_AFTER_MS: u64 = 50;
+const MAX_RETRY_AFTER_MS: u64 = 2_000;
+/// Retry-After of calls that are shed because similar calls fail, milliseconds.
 const THROTTLED_RETRY_AFTER_MS: u64 = 250;
-/// Shortest and longest Retry-After of calls that are held back because their like are late,
+/// Range of the random Retry-After of calls that are shed because similar calls are late,
 /// milliseconds.
-const PRESSED_RETRY_AFTER_MS: std::ops::Range<u64> = 250..1_250;
-/// Part of a service's slots that must be free for its calls to be sent whatever became of their
-/// like: more than change hands between two tellings of loads.
-const ROOM_PART: f64 = 0.1;
-/// Retry-After while no configuration is known, milliseconds.
+const OVERLOAD_RETRY_AFTER_MS: std::ops::Range<u64> = 250..1_250;
+/// Fraction of a service's slots that must be free for its calls to be sent even though similar
+/// calls are late. It exceeds the fraction that becomes occupied between two load reports.
+const MIN_FREE_SLOT_FRACTION: f64 = 0.1;
+/// Retry-After while the configuration is missing or may be outdated, milliseconds.
 const UNREADY_RETRY_AFTER_MS: u64 = 600;
-/// Denied calls that are logged in a second beside those of the sample: whoever sends with random
-/// keys gets a hundredth of the lines that a node may write.
-const DENIALS_LOGGED_A_SECOND: u32 = 20;
-/// Where a call came from.
+/// Denied calls logged per second in addition to sampled ones. A caller that tries random keys can
+/// thus cause only a hundredth of the log lines that a node may write.
+const MAX_DENIALS_LOGGED_PER_SECOND: u32 = 20;
+
+/// Where a call came from, and where its answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Origin {
     /// Connection of the caller.
     pub connection: ConnectionId,
-    /// Place on it.
+    /// Position of the request on that connection.
     pub slot: Slot,
 }
 
-/// Who asks for a call.
+/// Who started a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Initiator {
-    /// Nobody that this node knows more of.
+    /// A caller that is not known to be serving another call.
     Caller,
-    /// A run of the upstream beside this node, which holds a slot until the call ends.
+    /// The local upstream while it runs a request, which occupies a slot until this call ends.
     LocalRun,
-    /// The same, where another upstream had the call that the run is of: this call was asked for there,
-    /// too, and counts as a repeat at the service that it is for.
+    /// The same, but the request was sent to another upstream before. This call was probably made
+    /// there too, so it counts as a retry in the budget of its service.
     RepeatedRun,
 }
 
@@ -88,58 +91,59 @@
     }
 }
 
-/// One try of a call; the number tells late news of earlier tries apart.
+/// Identifies one attempt of a call. The number distinguishes it from earlier attempts, whose
+/// results may still arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt {
     /// The call.
     pub call: CallId,
-    /// Which try, from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// It was not sent whole, so it cannot have run.
+    /// The request was not sent completely, so it cannot have run.
     NotSent,
-    /// The peer told what became of it.
+    /// The peer replied with the outcome.
     Replied(HopReply, Response),
-    /// It was sent, and nothing certain came back.
+    /// The request was sent, but its outcome is unknown.
     Lost,
 }
 
-/// What the runtime must do.
+/// An action that the runtime must carry out.
 #[derive(Debug)]
 pub enum CallAction {
-    /// Send a try to the sidecar beside an upstream.
+    /// Send an attempt to the sidecar of an upstream.
     Send {
-        /// Which.
+        /// The attempt.
         attempt: Attempt,
-        /// Where to.
+        /// The sidecar's address.
         to: NodeAddress,
-        /// What to send, without the hop's header.
+        /// The request, without the hop header.
         request: Rc<Request>,
-        /// What goes in the hop's header.
+        /// The contents of the hop header.
         hop: HopRequest,
-        /// Whether the body is only offered, and sent as the other side grants it.
+        /// Whether the body is only offered, and sent once the receiver grants it.
         offered: bool,
     },
     /// Give a call its final answer.
     Answer {
-        /// Where it came from.
+        /// Where the call came from.
         origin: Origin,
         /// The answer.
         response: Response,
     },
-    /// Stop a try; its end is not awaited.
+    /// Stop an attempt without waiting for its end.
     Abort(Attempt),
 }
 
-/// A call that is refused before it is offered to any upstream.
-struct HeldBack {
+/// Why a call is refused before it is offered to any upstream.
+struct LoadShedding {
     reason: &'static str,
-    /// Part of such calls that is held back now, 0 to 1.
-    part: f64,
+    /// Fraction of such calls that is currently shed, 0 to 1.
+    fraction: f64,
     retry_after_ms: u64,
 }
 
@@ -148,35 +152,35 @@
 pub struct CallCounts {
     /// Calls begun.
     pub begun: u64,
-    /// Answers of upstreams passed on.
+    /// Answers of upstreams passed on to callers.
     pub answered: u64,
-    /// Refusals that promise that the call did not run.
+    /// Refusals that guarantee that the call did not run.
     pub refused: u64,
-    /// Failures without that promise.
+    /// Failures without that guarantee.
     pub failed: u64,
-    /// Calls that showed no key of a tenant where one is needed; they did not run.
+    /// Calls without the required API key of a tenant; they did not run.
     pub denied: u64,
-    /// Calls whose time was over.
+    /// Calls whose deadline passed.
     pub timed_out: u64,
-    /// Calls whose caller went away.
+    /// Calls whose caller disconnected.
     pub cancelled: u64,
-    /// Arrivals at upstreams past the first.
+    /// Retries and hedges: attempts of calls that had already been sent to another upstream.
     pub repeats: u64,
-    /// Those of them that were hedged second tries.
+    /// The hedges among them.
     pub hedges: u64,
-    /// Hedged second tries whose answer came first.
+    /// Hedges that were answered before the first attempt.
     pub hedges_won: u64,
-    /// Calls that were not sent again since the bound on repeats was reached.
+    /// Calls that were not retried because the retry budget was spent.
     pub repeats_refused: u64,
 }
 
-/// All calls of callers on this machine.
+/// All calls from callers on this machine.
 pub struct Calls {
     names: HeaderNames,
     sample: LogSample,
     metrics: CallMetrics,
     service: String,
-    /// What is believed of the upstreams.
+    /// Known state of the upstreams.
     pub view: PlacementView,
     splits: BTreeMap<String, WeightedSplit>,
     canaries: CanaryShares,
@@ -185,31 +189,31 @@
     throttle: Throttle,
     pressure: Pressure,
     poison: PoisonWatch,
-    /// Which calls wait for a credit of their tenants.
+    /// Tenant quotas, with the calls that wait for a credit.
     pub quota: Quota,
     random: fastrand::Rng,
-    /// Names this process' clock to peers.
+    /// Identifies the clock of this process to peers.
     clock: u32,
     calls: BTreeMap<CallId, Call>,
     by_origin: BTreeMap<Origin, CallId>,
     deadlines: BTreeSet<(Millis, CallId)>,
     parked: BTreeSet<CallId>,
-    /// Whether calls that take long are also sent to a second upstream.
+    /// Whether slow calls are hedged: also sent to a second upstream.
     hedging: bool,
-    /// When it is looked at whether a second try of a call pays.
+    /// When to consider a hedge for each call.
     hedges_due: BTreeSet<(Millis, CallId)>,
     hedges_barred_until: Millis,
-    repeats_told_at: Millis,
+    repeats_reported_at: Millis,
     next_call: CallId,
-    /// Generation by which the keys of all calls were looked up.
+    /// Configuration generation in which the keys of all calls were last looked up.
     keys_checked: u64,
     denials_logged: LogAllowance,
-    /// Totals since the start.
+    /// Totals since the process started.
     pub counts: CallCounts,
 }
 
 impl Calls {
-    /// The outbound side of a sidecar whose upstream belongs to `service`.
+    /// Creates the outbound side of a sidecar whose upstream belongs to `service`.
     pub fn new(
         names: HeaderNames,
         service: &str,
@@ -233,7 +237,7 @@
             times: ClassTimes::default(),
             throttle: Throttle::default(),
             pressure: Pressure::default(),
-            // Both are drawn at the start; nothing is secret about either.
+            // Both come from the seed drawn at process start; neither needs to be secret.
             clock: seed as u32,
             random: fastrand::Rng::with_seed(seed),
             calls: BTreeMap::new(),
@@ -243,35 +247,36 @@
             hedging: true,
             hedges_due: BTreeSet::new(),
             hedges_barred_until: 0,
-            repeats_told_at: 0,
+            repeats_reported_at: 0,
             next_call: 1,
             keys_checked: 0,
-            denials_logged: LogAllowance::new(DENIALS_LOGGED_A_SECOND),
+            denials_logged: LogAllowance::new(MAX_DENIALS_LOGGED_PER_SECOND),
             counts: CallCounts::default(),
         }
     }
 
-    /// The same with what the inbound side knows of requests that may crash upstreams.
+    /// Shares the inbound side's knowledge of requests that may crash upstreams.
     pub fn with_poison_watch(self, poison: PoisonWatch) -> Self {
         Calls { poison, ..self }
     }
 
-    /// Switches hedged second tries on or off.
+    /// Enables or disables hedging.
     pub fn set_hedging(&mut self, hedging: bool) {
         self.hedging = hedging;
     }
 
-    /// Calls without a final answer.
+    /// Number of calls without a final answer.
     pub fn in_flight(&self) -> usize {
         self.calls.len() + self.quota.waiting()
     }
 
-    /// When the oldest call without a final answer came.
+    /// When the oldest call without a final answer arrived, apart from those that wait for a
+    /// credit.
     pub fn oldest_arrival(&self) -> Option<Millis> {
         self.calls.first_key_value().map(|(_, call)| call.arrived)
     }
 
-    /// Takes in a call of a caller.
+    /// Starts a call from a caller.
     pub fn begin(
         &mut self,
         origin: Origin,
@@ -282,7 +287,7 @@
         self.begin_from(Initiator::Caller, origin, request, config, now)
     }
 
-    /// Takes in a call.
+    /// Starts a call from the given initiator.
     pub fn begin_from(
         &mut self,
         initiator: Initiator,
@@ -293,13 +298,13 @@
     ) -> Vec<CallAction> {
         self.counts.begun += 1;
         let call = WaitingCall { initiator, origin, request, arrived: now };
-        self.begin_with(Credit::Wanted, call, config, now)
+        self.begin_with(CreditState::NotRequested, call, config, now)
     }
 
-    /// Takes in a call, or goes on with one that waited for a credit.
+    /// Starts a call, or resumes one that waited for a credit.
     fn begin_with(
         &mut self,
-        credit: Credit,
+        credit: CreditState,
         call: WaitingCall,
         config: &Config,
         now: Millis,
@@ -307,8 +312,8 @@
         let WaitingCall { initiator, origin, request, arrived } = call;
         let attempt_id = request.headers.text(self.names.attempt_id).unwrap_or("-").to_owned();
         let Some(routing) = config.routing() else {
-            // It comes back when there is a configuration, and can still be in time then; one that
-            // waited would be late, with a slot in its hands that another needs.
+            // Refused rather than queued: once there is a configuration, a retry can still be in
+            // time, while a queued call would be late and occupy a slot that another call needs.
             info!(id = %attempt_id, reason = "no_configuration", verdict = "not-run", "call_refused");
             self.counts.refused += 1;
             return vec![refusal(origin, UNREADY_RETRY_AFTER_MS)];
@@ -319,8 +324,8 @@
             return vec![self.without_route(origin, &attempt_id, &request, config, now)];
         };
         let route = &found.route;
-        let shown = request.headers.all(self.names.api_key);
-        let holder = match config.tenant_of_call(route.keyless, shown) {
+        let presented = request.headers.all(self.names.api_key);
+        let holder = match config.tenant_of_call(route.keyless, presented) {
             Ok(holder) => holder,
             Err(problem) => {
                 return vec![self.deny(origin, &route.name, problem, &request, config, now)];
@@ -335,34 +340,35 @@
             return vec![refusal(origin, UNREADY_RETRY_AFTER_MS)];
         };
         let timeout = u64::from(route.timeout_ms);
-        let told = request.headers.number(self.names.deadline_ms).unwrap_or(timeout);
+        let caller_timeout_ms = request.headers.number(self.names.deadline_ms).unwrap_or(timeout);
         let urgency = urgency_of(route, holder.as_ref());
         let standing = self.poison.standing(&service, &request, now);
         if let Standing::Quarantined { left_ms } = standing {
             self.return_credit(holder.as_ref(), now);
             return vec![self.refuse_quarantined(origin, &attempt_id, &route.name, left_ms)];
         }
-        // Held back, the run that waits for it would have held its slot in vain.
-        let held_back = match initiator {
-            Initiator::Caller => self.hold_back(&route.name, &service, urgency, now),
+        // Calls made by a running request are not shed: its slot time would be wasted.
+        let shedding = match initiator {
+            Initiator::Caller => self.shed(&route.name, &service, urgency, now),
             Initiator::LocalRun | Initiator::RepeatedRun => None,
         };
-        if let Some(held_back) = held_back {
-            let HeldBack { reason, part, retry_after_ms } = held_back;
+        if let Some(shedding) = shedding {
+            let LoadShedding { reason, fraction, retry_after_ms } = shedding;
             self.return_credit(holder.as_ref(), now);
             info!(
-                id = %attempt_id, route = %route.name, %service, reason, part = %format_args!("{part:.2}"),
+                id = %attempt_id, route = %route.name, %service, reason,
+                part = %format_args!("{fraction:.2}"),
                 retry_after_ms, verdict = "not-run", "call_refused"
             );
             self.counts.refused += 1;
             self.metrics.note_end(&route.name, CallOutcome::HeldBack, 0);
             return vec![refusal(origin, retry_after_ms)];
         }
-        self.note_asked(initiator, &service, now);
+        self.note_request(initiator, &service, now);
         let track = self.draw_track(&service);
         let call = Call {
             origin,
-            request: Rc::new(self.prepared(request, holder.as_ref())),
+            request: Rc::new(self.forwarded_request(request, holder.as_ref())),
             attempt_id,
             route: route.name.clone(),
             holder,
@@ -370,22 +376,22 @@
             route_rank: route.rank,
             repeatable: route.repeatable,
             rank: urgency.rank,
-            most_arrivals: route.attempts.max(1),
+            max_arrivals: route.attempts.max(1),
             target_ms: urgency.target_ms,
             service,
             track,
             suspect: standing == Standing::Suspect,
-            begun: initiator != Initiator::Caller,
+            from_local_run: initiator != Initiator::Caller,
             arrived,
-            told_ms: told,
-            deadline: arrived + told.min(timeout),
-            tries: 0,
+            caller_timeout_ms,
+            deadline: arrived + caller_timeout_ms.min(timeout),
+            attempts: 0,
             arrivals: 0,
             current: None,
             hedge: None,
             hedge_at: None,
             tried: Vec::new(),
-            trail: Vec::new(),
+            history: Vec::new(),
             parked_until: None,
             room_at: None,
             fallback: None,
@@ -394,8 +400,8 @@
         self.place(id, now)
     }
 
-    /// The answer to a call whose like crash their upstreams: it has not run. Its caller is told a
-    /// time beyond the quarantine, which invites nobody to repeat it now.
+    /// Refuses a call whose request is in quarantine because it crashes upstreams; it has not run.
+    /// Retry-After is at least the rest of the quarantine, so that callers do not retry before.
     pub(super) fn refuse_quarantined(
         &mut self,
         origin: Origin,
@@ -422,8 +428,8 @@
         id
     }
 
-    /// The answer to a call whose route is not known: that there is none, if what is held is known
-    /// to be the newest; a newer generation may have it otherwise.
+    /// Answers a call without a matching route: 404 if the local configuration is known to be the
+    /// newest, otherwise a refusal, because a newer generation may have the route.
     fn without_route(
         &mut self,
         origin: Origin,
@@ -443,38 +449,38 @@
         refusal(origin, UNREADY_RETRY_AFTER_MS)
     }
 
-    /// Whether a new call is refused here, because its like fail or are not answered in time.
-    fn hold_back(
+    /// Decides whether to shed a new call because similar calls fail or are not answered in time.
+    fn shed(
         &mut self,
         route: &str,
         service: &str,
         urgency: Urgency,
         now: Millis,
-    ) -> Option<HeldBack> {
-        let part = 1.0 - self.throttle.admitted(route, now);
-        if self.random.f64() < part {
+    ) -> Option<LoadShedding> {
+        let fraction = 1.0 - self.throttle.admitted(route, now);
+        if self.random.f64() < fraction {
             let retry_after_ms = THROTTLED_RETRY_AFTER_MS;
-            return Some(HeldBack { reason: "like_calls_fail", part, retry_after_ms });
+            return Some(LoadShedding { reason: "like_calls_fail", fraction, retry_after_ms });
         }
-        let part = self.pressure.held_back(service, urgency, now);
-        if part > 0.0 && self.has_room(service, now) {
+        let fraction = self.pressure.held_back(service, urgency, now);
+        if fraction > 0.0 && self.has_room(service, now) {
             return None;
         }
-        if self.random.f64() < part {
+        if self.random.f64() < fraction {
             self.pressure.note(service, urgency, CallEnd::HeldBack, now);
-            let retry_after_ms = self.random.u64(PRESSED_RETRY_AFTER_MS);
-            return Some(HeldBack { reason: "like_calls_are_late", part, retry_after_ms });
+            let retry_after_ms = self.random.u64(OVERLOAD_RETRY_AFTER_MS);
+            return Some(LoadShedding { reason: "like_calls_are_late", fraction, retry_after_ms });
         }
         None
     }
 
-    /// Whether upstreams of a service are known to have room. What few calls of this node became
-    /// tells less than what all of its upstreams tell of themselves.
+    /// Whether the upstreams of a service report enough free slots. Their load reports say more
+    /// about the service than the outcomes of the few calls sent from this node.
     fn has_room(&self, service: &str, now: Millis) -> bool {
-        self.view.free_part(service, now).is_some_and(|free| free >= ROOM_PART)
+        self.view.free_part(service, now).is_some_and(|free| free >= MIN_FREE_SLOT_FRACTION)
     }
 
-    /// Takes down how a call ended.
+    /// Records the outcome and duration of a call in the metrics.
     fn note_outcome(&mut self, call: &Call, outcome: CallOutcome, now: Millis) {
         self.metrics.note_end(&call.route, outcome, now.saturating_sub(call.arrived));
     }
@@ -489,7 +495,7 @@
     }
 }
 
-/// The place of a tenant's calls on a route among those that wait for an upstream.
+/// Rank and target latency by which calls of a tenant on a route compete for upstreams.
 fn urgency_of(route: &bundle::Route, holder: Option<&KeyHolder>) -> Urgency {
     let target_ms = match route.target_latency_ms {
         0 => route.timeout_ms,
@@ -500,7 +506,7 @@
 }
 
 fn refusal(origin: Origin, retry_after_ms: u64) -> CallAction {
-    let bounded = retry_after_ms.clamp(SHORTEST_RETRY_AFTER_MS, LONGEST_RETRY_AFTER_MS);
+    let bounded = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
     let seconds = format!("{:.3}", bounded as f64 / 1_000.0);
     let response = Response::empty(503).with_header("Retry-After", seconds);
     CallAction::Answer { origin, response }
--- a/crates/sidecar/src/calls/placing.rs
+++ b/crates/sidecar/src/calls/placing.rs
@@ -1,6 +1,6 @@
-//! Where a call goes, and what its try tells the sidecar there.
+//! Chooses the upstream for a call and builds the hop header for its sidecar.
 
-use super::call::{Call, Try};
+use super::call::{ActiveAttempt, Call};
 use super::{Attempt, CallAction, CallId, Calls};
 use crate::tenants::KeyHolder;
 use crate::Millis;
@@ -9,26 +9,30 @@
 use placement::WeightedSplit;
 use tracing::info;
 
-/// Usual time of a route without a target or an answer yet, milliseconds.
-const UNKNOWN_TIME_MS: f64 = 100.0;
-/// Part of a route's target latency taken for its usual time before the first answer.
-const USUAL_PART_OF_TARGET: f64 = 0.35;
-/// How much longer than usual an answer is planned to take.
+/// Assumed usual time of a route that has neither a target latency nor an answer yet, milliseconds.
+const DEFAULT_USUAL_MS: f64 = 100.0;
+/// Fraction of a route's target latency assumed as its usual time before the first answer.
+const USUAL_FRACTION_OF_TARGET: f64 = 0.35;
+/// Factor on the usual time to plan for answers that take longer.
 const PLANNED_TIME_FACTOR: f64 = 1.25;
-/// Most part of the target latency that a call waits for a slot: one refused so early can still
-/// be in time when it comes back, and a longer queue makes all who wait late.
-const MOST_PATIENCE_PART: f64 = 0.25;
-/// A call may wait this long for a slot whatever its target, if its time allows, milliseconds.
-/// Those with short targets are mostly asked for within other calls, which would fail with a slot
-/// in their hands.
-const LEAST_PATIENCE_MS: f64 = 120.0;
-/// Most upstreams that a call is offered to for which a run waits with a slot: as many as any call
-/// while there is room. An offer in vain costs two messages, the run in vain its whole slot time.
-const BEGUN_OFFERS: u32 = 5;
-/// The hop's deadline ends this much before the caller's, so that its answer is in time, ms.
+/// Maximum fraction of the target latency that a call waits for a slot. A call refused that early
+/// can still be in time when it is retried, while a longer queue would make every waiting call
+/// late.
+const MAX_PATIENCE_FRACTION: f64 = 0.25;
+/// Minimum time that a call may wait for a slot regardless of its target, if its deadline allows,
+/// milliseconds. Calls with short targets are mostly made by other running calls, which would fail
+/// after having used a slot.
+const MIN_PATIENCE_MS: f64 = 120.0;
+/// Maximum number of upstreams that a call made by a running request is offered to: as many as for
+/// any call while there are free slots. An unsuccessful offer costs two messages, while a run
+/// that fails wastes its whole slot time.
+const LOCAL_RUN_MAX_OFFERS: u32 = 5;
+/// The hop's deadline is this much earlier than the caller's, so that the answer is in time,
+/// milliseconds.
 const HOP_MARGIN_MS: u64 = 8;
 
 impl Calls {
+    /// Picks the service of the next call on a route by the weights of its targets.
     pub(super) fn draw_service(
         &mut self,
         route: &str,
@@ -45,7 +49,7 @@
         self.splits.get_mut(route)?.draw().map(str::to_owned)
     }
 
-    /// Whether the next call of a service belongs to the share of a canary.
+    /// Decides whether the next call of a service goes to the canary version.
     pub(super) fn draw_track(&mut self, service: &str) -> Track {
         let policy = self.view.policy(service);
         let Some(share) = policy.and_then(|policy| policy.candidate.as_ref()) else {
@@ -54,9 +58,13 @@
         self.canaries.draw(service, share, &mut self.random)
     }
 
-    /// The request as it goes to the peer: without what only the caller's connection concerns,
-    /// without what only sidecars may say, and without keys.
-    pub(super) fn prepared(&self, mut request: Request, holder: Option<&KeyHolder>) -> Request {
+    /// The request as sent to the peer: without hop-by-hop headers, headers that only sidecars may
+    /// set, and API keys.
+    pub(super) fn forwarded_request(
+        &self,
+        mut request: Request,
+        holder: Option<&KeyHolder>,
+    ) -> Request {
         let names = &self.names;
         let headers = &mut request.headers;
         headers.remove_connection_headers();
@@ -65,33 +73,34 @@
         }
         headers.remove(names.api_key);
         headers.set(names.caller, self.service.as_bytes());
-        self.name_tenant(&mut request, holder);
+        self.set_tenant_header(&mut request, holder);
         request
     }
 
-    /// Tells upstreams whose call it is, whatever the caller said.
-    pub(super) fn name_tenant(&self, request: &mut Request, holder: Option<&KeyHolder>) {
+    /// Sets the tenant header for the upstream, replacing whatever the caller sent.
+    pub(super) fn set_tenant_header(&self, request: &mut Request, holder: Option<&KeyHolder>) {
         request.headers.remove(self.names.tenant);
         if let Some(holder) = holder {
             request.headers.push(self.names.tenant, holder.tenant.name.as_bytes());
         }
     }
 
+    /// Usual time of a call on this route with an upstream, or an estimate before the first answer.
     pub(super) fn usual_ms(&self, call: &Call) -> f64 {
-        let guessed = match call.target_ms {
-            0 => UNKNOWN_TIME_MS,
-            target => target as f64 * USUAL_PART_OF_TARGET,
+        let estimated = match call.target_ms {
+            0 => DEFAULT_USUAL_MS,
+            target => target as f64 * USUAL_FRACTION_OF_TARGET,
         };
-        self.times.usual_ms(&call.route).unwrap_or(guessed)
+        self.times.usual_ms(&call.route).unwrap_or(estimated)
     }
 
-    /// Chooses an upstream for a call that has no try, or gives it up.
+    /// Chooses an upstream for a call and sends an attempt, or parks or gives up the call.
     pub(super) fn place(&mut self, id: CallId, now: Millis) -> Vec<CallAction> {
-        // A call with a try under way waits for it.
-        if self.is_under_way(id) {
+        // The result of an active attempt is awaited first.
+        if self.has_active_attempt(id) {
             return Vec::new();
         }
-        if let Some(ended) = self.settle_key(id, now) {
+        if let Some(ended) = self.apply_key_change(id, now) {
             return ended;
         }
         let Some(call) = self.calls.get(&id) else {
@@ -99,24 +108,24 @@
         };
         let usual_ms = self.usual_ms(call);
         let mut random = self.random.clone();
-        let wanted = self.wanted(call, now);
-        let most_offers = match call.begun {
-            true => BEGUN_OFFERS,
+        let criteria = self.placement_request(call, now);
+        let max_offers = match call.from_local_run {
+            true => LOCAL_RUN_MAX_OFFERS,
             false => self.pressure.most_offers(&call.service, now),
         };
-        let chosen = match call.tries < most_offers {
-            true => self.view.choose(&wanted, now, &mut random),
+        let chosen = match call.attempts < max_offers {
+            true => self.view.choose(&criteria, now, &mut random),
             false => None,
         };
         self.random = random;
         let Some(to) = chosen else {
-            return self.without_upstream(id, now);
+            return self.handle_no_upstream(id, now);
         };
         let hop = self.hop_request(call, &to, usual_ms, now);
         let call = self.calls.get_mut(&id).expect("looked up above");
-        call.tries += 1;
-        let attempt = Attempt { call: id, number: call.tries };
-        call.current = Some(Try { attempt, to, since: now });
+        call.attempts += 1;
+        let attempt = Attempt { call: id, number: call.attempts };
+        call.current = Some(ActiveAttempt { attempt, to, since: now });
         call.parked_until = None;
         call.tried.push(to);
         self.parked.remove(&id);
@@ -132,9 +141,9 @@
         if self.sample.takes(&call.attempt_id) {
             info!(
                 id = %call.attempt_id, route = %call.route, service = %call.service,
-                rank = call.rank, target_ms = call.target_ms, try_number = call.tries,
+                rank = call.rank, target_ms = call.target_ms, try_number = call.attempts,
                 %to, patience_ms = hop.patience_ms, left_ms = hop.deadline_ms,
-                told_ms = call.told_ms, "call_placed"
+                told_ms = call.caller_timeout_ms, "call_placed"
             );
         }
         let moved_bytes = self.times.moved_bytes(&call.route).unwrap_or(0.0);
@@ -143,13 +152,17 @@
         vec![CallAction::Send { attempt, to, request, hop, offered }]
     }
 
-    /// What a call's choice of an upstream depends on.
-    pub(super) fn wanted<'a>(&'a self, call: &'a Call, now: Millis) -> placement::Request<'a> {
+    /// The criteria for the choice of an upstream.
+    pub(super) fn placement_request<'a>(
+        &'a self,
+        call: &'a Call,
+        now: Millis,
+    ) -> placement::Request<'a> {
         let elapsed = now.saturating_sub(call.arrived);
         let body_bytes = call.request.body.len();
         placement::Request {
             service: &call.service,
-            // What the version under trial failed is not tried there again.
+            // A call that may have run on the canary version is retried on the stable one.
             track: if call.arrivals > 0 { Track::Stable } else { call.track },
             urgency: call.urgency(),
             usual_ms: self.usual_ms(call),
@@ -161,6 +174,7 @@
         }
     }
 
+    /// The contents of the hop header for an attempt of a call.
     pub(super) fn hop_request(
         &self,
         call: &Call,
@@ -173,12 +187,12 @@
         let planned = usual_ms * pace * PLANNED_TIME_FACTOR;
         let target = call.target_ms as f64;
         let elapsed = now.saturating_sub(call.arrived) as f64;
-        let useful = (target - elapsed - planned).min(target * MOST_PATIENCE_PART);
-        let possible = (left as f64 - planned).max(0.0);
-        let patience = match call.begun {
-            // Late, it still serves the run that waits for it.
-            true => possible,
-            false => useful.max(LEAST_PATIENCE_MS.min(possible)),
+        let within_target = (target - elapsed - planned).min(target * MAX_PATIENCE_FRACTION);
+        let within_deadline = (left as f64 - planned).max(0.0);
+        let patience = match call.from_local_run {
+            // Even a late answer is useful to the run that waits for it.
+            true => within_deadline,
+            false => within_target.max(MIN_PATIENCE_MS.min(within_deadline)),
         };
         let record = self.view.get(to).and_then(|upstream| upstream.record.instance.as_ref());
         HopRequest {
@@ -191,7 +205,7 @@
             instance: record.map(|instance| instance.id.clone()),
             departure: Some(Departure { clock: self.clock, at_ms: now }),
             suspect: call.suspect,
-            begun: call.begun,
+            begun: call.from_local_run,
             repeat: call.arrivals > 0,
             hedge: false,
             usual_ms: self.times.usual_ms(&call.route).map_or(0, |ms| ms.round() as u32),
--- a/crates/sidecar/src/calls/repeats.rs
+++ b/crates/sidecar/src/calls/repeats.rs
@@ -1,18 +1,20 @@
-//! Calls and the fleet's bound on repeats: what is taken down, what is allowed, what is told of it.
+//! The fleet-wide retry budget: records calls and retries, checks retries against it, and logs its
+//! use.
 
 use super::call::Call;
 use super::{CallId, Calls, Initiator};
 use crate::Millis;
 use tracing::info;
 
-/// How long second tries are kept from an upstream whose repeated runs asked for more than the bound on
-/// repeats allows, milliseconds: a slice of the bound's window, after which some are forgotten.
+/// How long an upstream gets no hedges after its repeated runs made more calls than the retry
+/// budget allows, milliseconds: one slice of the budget's window, after which the oldest retries
+/// expire.
 const HEDGES_BARRED_MS: u64 = 1_000;
-const TOLD_EVERY_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
 impl Calls {
-    /// Takes down a call for the bound on repeats.
-    pub(super) fn note_asked(&mut self, initiator: Initiator, service: &str, now: Millis) {
+    /// Records a new call in the retry budget of its service.
+    pub(super) fn note_request(&mut self, initiator: Initiator, service: &str, now: Millis) {
         if initiator != Initiator::RepeatedRun {
             self.budget.note_request(service, initiator.asked_by(), now);
             return;
@@ -23,14 +25,14 @@
         self.budget.note_repeat(service, initiator.asked_by(), now);
     }
 
-    /// Until when the upstream beside this node should be given no second tries, since what their runs
-    /// ask for is beyond the bound on repeats.
+    /// Time until which the local upstream should get no hedges, because the calls made by repeated
+    /// runs exceed the retry budget.
     pub fn hedges_barred_until(&self) -> Millis {
         self.hedges_barred_until
     }
 
-    /// Whether the bound allows to send a call once more.
-    pub(super) fn may_repeat(&mut self, id: CallId, now: Millis) -> bool {
+    /// Whether the retry budget allows another attempt of a call.
+    pub(super) fn may_retry(&mut self, id: CallId, now: Millis) -> bool {
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
@@ -43,13 +45,13 @@
         allowed
     }
 
-    /// Takes down once a second how many nodes share the bound, and logs what was done about repeats at
-    /// each service, if anything was.
+    /// Once a second, records how many nodes share the retry budget and logs the retries of each
+    /// service that had any.
     pub fn report_repeats(&mut self, now: Millis) {
-        if now < self.repeats_told_at + TOLD_EVERY_MS {
+        if now < self.repeats_reported_at + REPORT_INTERVAL_MS {
             return;
         }
-        self.repeats_told_at = now;
+        self.repeats_reported_at = now;
         self.budget.note_nodes(self.view.nodes(), now);
         for (service, tally) in self.budget.take_tallies() {
             if tally.repeats + tally.refused == 0 {
--- a/crates/sidecar/src/calls/time.rs
+++ b/crates/sidecar/src/calls/time.rs
@@ -1,7 +1,7 @@
-//! What ends calls from outside: time, callers that leave, the start and the stop of the process.
+//! Ends calls on deadlines, caller disconnects and process shutdown.
 
-use super::call::{trail, Call, Try};
-use super::{refusal, Attempt, CallAction, CallId, Calls, Origin, PARKED_LOOK_MS};
+use super::call::{format_history, ActiveAttempt, Call};
+use super::{refusal, Attempt, CallAction, CallId, Calls, Origin, PARKED_POLL_MS};
 use crate::call_metrics::CallOutcome;
 use crate::net::ConnectionId;
 use crate::Millis;
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 
 impl Calls {
-    /// Refuses a call because the process stops.
+    /// Refuses a call because the process is stopping.
     pub fn refuse_stopping(
         &mut self,
         origin: Origin,
@@ -23,7 +23,7 @@
         refusal(origin, retry_after_ms)
     }
 
-    /// A caller went away: whatever it waited for stops.
+    /// Cancels all calls of a caller that disconnected.
     pub fn connection_ended(&mut self, connection: ConnectionId, now: Millis) -> Vec<CallAction> {
         let first = Origin { connection, slot: 0 };
         let last = Origin { connection, slot: Slot::MAX };
@@ -33,7 +33,7 @@
         for id in ids {
             if let Some(call) = self.remove(id) {
                 self.counts.cancelled += 1;
-                info!(id = %call.attempt_id, tries = call.tries, "call_cancelled");
+                info!(id = %call.attempt_id, tries = call.attempts, "call_cancelled");
                 self.note_outcome(&call, CallOutcome::Cancelled, now);
                 self.note_unanswered(&call, now);
                 actions.extend(self.abort(&call));
@@ -42,34 +42,34 @@
         actions
     }
 
-    /// A try that is given up after more than the call usually takes says that the upstream, its
-    /// sidecar or the way to it is slow.
+    /// Records unanswered attempts that took longer than usual: the upstream, its sidecar or the
+    /// network in between is slow.
     fn note_unanswered(&mut self, call: &Call, now: Millis) {
         let usual_ms = self.usual_ms(call);
-        for Try { to, since, .. } in call.under_way() {
+        for ActiveAttempt { to, since, .. } in call.active_attempts() {
             let elapsed = now.saturating_sub(since) as f64;
             if let Some(upstream) = self.view.get_mut(&to) {
-                let beyond_ms = elapsed - usual_ms * upstream.pace(now);
-                if beyond_ms > 0.0 {
-                    upstream.note_unanswered(beyond_ms, now);
+                let excess_ms = elapsed - usual_ms * upstream.pace(now);
+                if excess_ms > 0.0 {
+                    upstream.note_unanswered(excess_ms, now);
                 }
             }
         }
     }
 
-    /// Stops the tries of a call that are under way.
+    /// Stops the active attempts of a call.
     pub(super) fn abort(&mut self, call: &Call) -> Vec<CallAction> {
-        let tries: Vec<Try> = call.under_way().collect();
-        for Try { to, .. } in &tries {
+        let active: Vec<ActiveAttempt> = call.active_attempts().collect();
+        for ActiveAttempt { to, .. } in &active {
             if let Some(upstream) = self.view.get_mut(to) {
                 upstream.outstanding = upstream.outstanding.saturating_sub(1);
             }
         }
-        tries.into_iter().map(|held| CallAction::Abort(held.attempt)).collect()
+        active.into_iter().map(|active| CallAction::Abort(active.attempt)).collect()
     }
 
-    /// Gives every call its final answer, because the process ends. `was_sent` tells whether a try
-    /// left this process whole; one that did not cannot have run.
+    /// Gives every call its final answer, because the process is stopping. `was_sent` tells whether
+    /// an attempt was sent completely; one that was not cannot have run.
     pub fn end_all(
         &mut self,
         was_sent: impl Fn(Attempt) -> bool,
@@ -82,14 +82,15 @@
             let Some(call) = self.calls.get_mut(&id) else {
                 continue;
             };
-            let sent = call.under_way().filter(|held| was_sent(held.attempt)).count();
+            let sent = call.active_attempts().filter(|active| was_sent(active.attempt)).count();
             call.arrivals += sent as u32;
             actions.extend(self.give_up(id, retry_after_ms, now));
         }
         actions
     }
 
-    /// Ends the calls whose time is over, and looks again for the parked ones.
+    /// Ends calls whose deadline passed, sends hedges that are due, and tries again to place parked
+    /// calls.
     pub fn tick(&mut self, now: Millis) -> Vec<CallAction> {
         let mut actions = Vec::new();
         while let Some((deadline, id)) = self.deadlines.first().copied() {
@@ -106,8 +107,8 @@
             let held_ms = now.saturating_sub(call.arrived);
             warn!(
                 id = %call.attempt_id, route = %call.route, service = %call.service,
-                tries = call.tries, held_ms, trail = %trail(&call.trail),
-                at = ?call.current.map(|held| held.to.to_string()),
+                tries = call.attempts, held_ms, trail = %format_history(&call.history),
+                at = ?call.current.map(|current| current.to.to_string()),
                 verdict = "may-have-run", "call_timed_out"
             );
             self.note_unanswered(&call, now);
@@ -123,10 +124,10 @@
         actions
     }
 
-    /// When `tick` has something to do.
+    /// Next time at which `tick` has something to do.
     pub fn next_tick(&self, now: Millis) -> Option<Millis> {
         let deadline = self.deadlines.first().map(|(deadline, _)| *deadline);
-        let parked = (!self.parked.is_empty()).then_some(now + PARKED_LOOK_MS);
+        let parked = (!self.parked.is_empty()).then_some(now + PARKED_POLL_MS);
         let hedge = self.hedges_due.first().map(|(due, _)| *due);
         deadline.into_iter().chain(parked).chain(hedge).min()
     }
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -1,7 +1,7 @@
-//! What this sidecar knows of requests that may crash upstreams; its two sides share it.
+//! Knowledge of requests that may crash upstreams, shared by the two sides of this sidecar.
 //!
-//! The outbound side refuses calls in quarantine where they come in, and marks suspects. The inbound
-//! side, which alone sees an upstream end and knows what ran there, tells the others.
+//! The outbound side refuses quarantined calls on arrival and marks suspect ones. The inbound side
+//! notices when the local upstream ends and what it was running, and reports that to coordinators.
 
 use crate::Millis;
 use http1::Request;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Names a request for its repeats, here and on other nodes.
+/// Identifies a request and its repetitions, on this node and on others.
 pub(crate) fn fingerprint(service: &str, request: &Request) -> Fingerprint {
     let identity = RequestIdentity {
         service,
@@ -27,53 +27,54 @@
     identity.fingerprint()
 }
 
-/// Most ends of the own upstream kept for coordinators; one that ends more often is not kept running
-/// by anybody.
-const MOST_OWN_REPORTS: usize = 64;
+/// Maximum number of crash reports of the local upstream kept for coordinators. No orchestrator
+/// keeps restarting an upstream that ends more often than that.
+const MAX_OWN_REPORTS: usize = 64;
 
 #[derive(Debug)]
-struct Known {
-    /// This sidecar.
+struct State {
+    /// Address of this sidecar.
     own: NodeAddress,
     quarantine: Quarantine,
     recent: RecentRuns,
-    /// Ends of the upstream beside this sidecar, and when; for coordinators that did not hear of
-    /// them or forgot.
+    /// Crash reports of the local upstream with their times, for coordinators that missed or lost
+    /// them.
     own_reports: VecDeque<(Millis, CrashReport)>,
-    /// What coordinators are to be told.
-    untold: Vec<PoisonNews>,
+    /// News not yet sent to coordinators.
+    unsent: Vec<PoisonNews>,
 }
 
-/// A handle to it.
+/// Shared handle to the suspects and quarantines known at this sidecar.
 #[derive(Clone, Debug)]
-pub struct PoisonWatch(Rc<RefCell<Known>>);
+pub struct PoisonWatch(Rc<RefCell<State>>);
 
 impl PoisonWatch {
-    /// Nothing known yet, at this sidecar.
+    /// Creates an empty watch for the sidecar at `own`.
     pub fn new(own: NodeAddress) -> Self {
         let (quarantine, recent) = (Quarantine::default(), RecentRuns::default());
         let own_reports = VecDeque::new();
-        let untold = Vec::new();
-        let known = Known { own, quarantine, recent, own_reports, untold };
-        PoisonWatch(Rc::new(RefCell::new(known)))
+        let unsent = Vec::new();
+        let state = State { own, quarantine, recent, own_reports, unsent };
+        PoisonWatch(Rc::new(RefCell::new(state)))
     }
 
-    /// How a request stands; it is looked at only while anything is known against any.
+    /// Standing of a request. Its fingerprint is computed only while there are suspects or
+    /// quarantines.
     pub fn standing(&self, service: &str, request: &Request, now: Millis) -> Standing {
-        let known = self.0.borrow();
-        match known.quarantine.is_empty() {
+        let state = self.0.borrow();
+        match state.quarantine.is_empty() {
             true => Standing::Clear,
-            false => known.quarantine.standing(fingerprint(service, request), now),
+            false => state.quarantine.standing(fingerprint(service, request), now),
         }
     }
 
-    /// Takes in that the upstream beside this sidecar ended, with what it worked on.
+    /// Records that the local upstream ended, with the requests it was running.
     pub fn upstream_ended(&self, instance: &str, running: &[Fingerprint], now: Millis) {
-        let mut known = self.0.borrow_mut();
-        let trusted = |fingerprint: &Fingerprint| known.recent.speak_for(*fingerprint, now);
-        let suspects = running.iter().copied().filter(|fingerprint| !trusted(fingerprint));
+        let mut state = self.0.borrow_mut();
+        let ran_recently = |fingerprint: &Fingerprint| state.recent.speak_for(*fingerprint, now);
+        let suspects = running.iter().copied().filter(|fingerprint| !ran_recently(fingerprint));
         let report = CrashReport {
-            node: known.own,
+            node: state.own,
             instance: instance.to_owned(),
             running: suspects.collect(),
         };
@@ -81,39 +82,39 @@
         if report.running.is_empty() {
             return;
         }
-        let verdict = known.quarantine.note_crash(&report, now);
+        let verdict = state.quarantine.note_crash(&report, now);
         log_verdict(&verdict, instance);
-        known.own_reports.push_back((now, report.clone()));
-        if known.own_reports.len() > MOST_OWN_REPORTS {
-            known.own_reports.pop_front();
+        state.own_reports.push_back((now, report.clone()));
+        if state.own_reports.len() > MAX_OWN_REPORTS {
+            state.own_reports.pop_front();
         }
-        known.untold.push(PoisonNews::Crash(report));
+        state.unsent.push(PoisonNews::Crash(report));
     }
 
-    /// Takes in that the upstream ran a request and did not end.
+    /// Records that the local upstream completed a request without crashing.
     pub fn note_completed(&self, fingerprint: Fingerprint, now: Millis) {
-        let mut known = self.0.borrow_mut();
-        known.recent.note(fingerprint, now);
-        known.clear(fingerprint, now);
+        let mut state = self.0.borrow_mut();
+        state.recent.note(fingerprint, now);
+        state.clear(fingerprint, now);
     }
 
-    /// Takes in what a coordinator passed on.
+    /// Applies notices passed on by a coordinator.
     pub fn apply_notices(&self, notices: Vec<PoisonNotice>, now: Millis) {
-        let mut known = self.0.borrow_mut();
+        let mut state = self.0.borrow_mut();
         for PoisonNotice { age_ms, news } in notices {
             let at = now.saturating_sub(age_ms);
             match news {
                 PoisonNews::Crash(report) => {
-                    log_verdict(&known.quarantine.note_crash(&report, at), &report.instance);
-                    known.speak_for(&report.running, now);
+                    log_verdict(&state.quarantine.note_crash(&report, at), &report.instance);
+                    state.clear_recently_completed(&report.running, now);
                 }
                 PoisonNews::Cleared(clearing) => {
-                    let taken = known.quarantine.note_cleared(&clearing, at);
+                    let taken = state.quarantine.note_cleared(&clearing, at);
                     let (fingerprint, crashes) = (clearing.fingerprint, clearing.crashes.len());
                     info!(%fingerprint, crashes, age_ms, taken, "clearing_learned");
                 }
                 PoisonNews::Quarantined(entry) => {
-                    let taken = known.quarantine.note_quarantined(&entry, at);
+                    let taken = state.quarantine.note_quarantined(&entry, at);
                     let QuarantineEntry { fingerprint, left_ms, .. } = entry;
                     info!(%fingerprint, left_ms, age_ms, taken, "quarantine_told");
                 }
@@ -121,13 +122,14 @@
         }
     }
 
-    /// The newest two ends of upstreams that keep a request from others; zeros if none do.
+    /// The two newest crashes for which a request is in quarantine; zeros if there are none.
     pub fn newest_crashes(&self, service: &str, request: &Request) -> [CrashId; 2] {
         self.0.borrow().quarantine.newest_crashes(fingerprint(service, request))
     }
 
-    /// Takes in that the sidecar beside an upstream keeps a call away from it, as it answered itself;
-    /// returns whether it is right. It is not if it has yet to hear that the request was cleared.
+    /// Records that the sidecar of an upstream refused a call because its request is in quarantine.
+    /// Returns whether the request is in quarantine here as well. It is not if it was cleared and
+    /// the other sidecar has not been told yet.
     pub fn note_quarantine_refusal(
         &self,
         service: &str,
@@ -137,76 +139,78 @@
     ) -> bool {
         let fingerprint = fingerprint(service, request);
         let left_ms = u64::from(reply.quarantine_left_ms);
-        let named = reply.quarantine_crashes.into_iter().filter(|crash| *crash != CrashId(0));
-        let entry = QuarantineEntry { fingerprint, crashes: named.collect(), left_ms };
-        let mut known = self.0.borrow_mut();
-        let taken = known.quarantine.note_quarantined(&entry, now);
+        let crashes = reply.quarantine_crashes.into_iter().filter(|crash| *crash != CrashId(0));
+        let entry = QuarantineEntry { fingerprint, crashes: crashes.collect(), left_ms };
+        let mut state = self.0.borrow_mut();
+        let taken = state.quarantine.note_quarantined(&entry, now);
         info!(%fingerprint, left_ms, taken, "quarantine_learned");
-        matches!(known.quarantine.standing(fingerprint, now), Standing::Quarantined { .. })
+        matches!(state.quarantine.standing(fingerprint, now), Standing::Quarantined { .. })
     }
 
-    /// What coordinators are to be told now.
+    /// Takes the notices to send to coordinators now.
     pub fn take_unsent(&self) -> Vec<PoisonNotice> {
-        let news = std::mem::take(&mut self.0.borrow_mut().untold);
+        let news = std::mem::take(&mut self.0.borrow_mut().unsent);
         news.into_iter().map(|news| PoisonNotice { age_ms: 0, news }).collect()
     }
 
-    /// What a coordinator is told that may have forgotten all, or was not there when it happened:
-    /// what was in quarantine and was cleared, the ends of the upstream here, with the requests that
-    /// nothing speaks for by now, and what is in quarantine.
+    /// Everything to send to a coordinator that may have lost its state or missed earlier notices:
+    /// clearings of quarantined requests, crashes of the local upstream with the requests that are
+    /// still suspected, and current quarantines.
     pub fn full_report(&self, now: Millis) -> Vec<PoisonNotice> {
-        let known = self.0.borrow();
-        let reports = known.own_reports.iter().filter_map(|(at, report)| {
-            let news = PoisonNews::Crash(known.still_suspected(report, now)?);
+        let state = self.0.borrow();
+        let reports = state.own_reports.iter().filter_map(|(at, report)| {
+            let news = PoisonNews::Crash(state.still_suspected(report, now)?);
             Some(PoisonNotice { age_ms: now.saturating_sub(*at), news })
         });
-        let entries = known.quarantine.entries(now).into_iter();
-        // One that does not say what it rests on could not be cleared by name.
-        let named = entries.filter(|entry| !entry.crashes.is_empty());
-        let entries =
-            named.map(|entry| PoisonNotice { age_ms: 0, news: PoisonNews::Quarantined(entry) });
-        known.quarantines_cleared(now).chain(reports).chain(entries).collect()
+        let entries = state.quarantine.entries(now).into_iter();
+        // Leaves out entries without crash ids: a clearing names the crashes and could not end
+        // them.
+        let with_crashes = entries.filter(|entry| !entry.crashes.is_empty());
+        let entries = with_crashes
+            .map(|entry| PoisonNotice { age_ms: 0, news: PoisonNews::Quarantined(entry) });
+        state.quarantines_cleared(now).chain(reports).chain(entries).collect()
     }
 
-    /// Forgets what is too old to tell anything.
+    /// Discards expired entries and reports.
     pub fn expire(&self, now: Millis) {
-        let mut known = self.0.borrow_mut();
-        known.quarantine.expire(now);
-        let old = |(at, _): &(Millis, CrashReport)| at + CRASH_MEMORY_MS <= now;
-        while known.own_reports.front().is_some_and(old) {
-            known.own_reports.pop_front();
+        let mut state = self.0.borrow_mut();
+        state.quarantine.expire(now);
+        let expired = |(at, _): &(Millis, CrashReport)| at + CRASH_MEMORY_MS <= now;
+        while state.own_reports.front().is_some_and(expired) {
+            state.own_reports.pop_front();
         }
     }
 
-    /// Requests that are kept from upstreams, and suspects.
+    /// Numbers of quarantined requests and of suspects.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
-        let known = self.0.borrow();
-        (known.quarantine.entries(now).len(), known.quarantine.suspects(now))
+        let state = self.0.borrow();
+        (state.quarantine.entries(now).len(), state.quarantine.suspects(now))
     }
 }
 
-impl Known {
-    /// What was in quarantine and was cleared. A coordinator that was not there then would take its
-    /// quarantine from a node that has not heard either, and bring it back everywhere.
+impl State {
+    /// Clearings of quarantined requests. Without them, a coordinator that missed a clearing would
+    /// take the quarantine over from a node that missed it too, and reinstate it on all nodes.
     fn quarantines_cleared(&self, now: Millis) -> impl Iterator<Item = PoisonNotice> + '_ {
-        let ended = self.quarantine.clearings().filter(|(_, clearing)| clearing.ends_quarantine());
-        ended.map(move |(at, clearing)| PoisonNotice {
+        let clearings =
+            self.quarantine.clearings().filter(|(_, clearing)| clearing.ends_quarantine());
+        clearings.map(move |(at, clearing)| PoisonNotice {
             age_ms: now.saturating_sub(at),
             news: PoisonNews::Cleared(clearing),
         })
     }
 
-    /// A report with the requests that are still suspects or in quarantine, if there are any.
+    /// The report reduced to requests that are still suspects or in quarantine, if there are any.
     fn still_suspected(&self, report: &CrashReport, now: Millis) -> Option<CrashReport> {
-        let held = |fingerprint: &Fingerprint| {
+        let suspected = |fingerprint: &Fingerprint| {
             self.quarantine.standing(*fingerprint, now) != Standing::Clear
         };
-        let running: Vec<Fingerprint> = report.running.iter().copied().filter(held).collect();
+        let running: Vec<Fingerprint> = report.running.iter().copied().filter(suspected).collect();
         (!running.is_empty()).then(|| CrashReport { running, ..report.clone() })
     }
 
-    /// Clears those that ran well at this node's upstream a moment ago.
-    fn speak_for(&mut self, running: &[Fingerprint], now: Millis) {
+    /// Clears the requests that the local upstream recently completed without crashing.
+    fn clear_recently_completed(&mut self, running: &[Fingerprint], now: Millis) {
         for fingerprint in running {
             if self.recent.speak_for(*fingerprint, now) {
                 self.clear(*fingerprint, now);
@@ -214,11 +218,11 @@
         }
     }
 
-    /// Clears a request if anything is held against it, and has coordinators told.
+    /// Clears a request if it is a suspect or in quarantine, and queues the news for coordinators.
     fn clear(&mut self, fingerprint: Fingerprint, now: Millis) {
         if let Some(clearing) = self.quarantine.clear(fingerprint, now) {
             info!(%fingerprint, "suspect_cleared");
-            self.untold.push(PoisonNews::Cleared(clearing));
+            self.unsent.push(PoisonNews::Cleared(clearing));
         }
     }
 }
--- a/crates/sidecar/src/quota.rs
+++ b/crates/sidecar/src/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of tenants at this sidecar: which calls wait for a credit, and what was refused.
+//! Tenant quotas at this sidecar: the calls that wait for a credit, and logging of refusals.
 
 use crate::calls::{Initiator, Origin};
 use crate::net::ConnectionId;
@@ -10,8 +10,8 @@
 use mesh::{CreditAnswer, CreditRequest};
 use tracing::{info, warn};
 
-/// A call that waits for a credit. It is looked at anew when it has one: its route, its key or its
-/// tenant may be gone by then.
+/// A call that waits for a credit. It is routed and authenticated again once it has one, because
+/// its route, key or tenant may have been removed meanwhile.
 #[derive(Debug)]
 pub(crate) struct WaitingCall {
     pub initiator: Initiator,
@@ -20,7 +20,7 @@
     pub arrived: Millis,
 }
 
-/// Quotas as the outbound side uses them.
+/// Quota checks of the outbound side.
 #[derive(Debug)]
 pub struct Quota {
     gate: Gate<WaitingCall>,
@@ -29,18 +29,19 @@
 }
 
 impl Quota {
-    /// Nothing held, nothing known.
+    /// Creates the quota checks without any credits.
     pub(crate) fn new(sample: LogSample, seed: u64) -> Self {
         Quota { gate: Gate::new(seed), sample, logged: GateCounts::default() }
     }
 
-    /// The core, for whoever carries its messages.
+    /// The underlying gate, for the code that exchanges its messages with coordinators.
     pub(crate) fn gate(&mut self) -> &mut Gate<WaitingCall> {
         &mut self.gate
     }
 
-    /// Takes in a call of a tenant; it is given back with what becomes of it, or kept.
-    pub(crate) fn enter(
+    /// Requests a credit for a call of a tenant. Returns the call with the outcome if that is
+    /// known, or keeps the call until `settle` returns it.
+    pub(crate) fn admit(
         &mut self,
         tenant: &CompiledTenant,
         call: WaitingCall,
@@ -50,61 +51,63 @@
         self.gate.enter(tenant_id(&tenant.name), limit, call, now)
     }
 
-    /// Calls that need not wait any more.
+    /// Takes the calls whose wait is over, with their outcomes.
     pub(crate) fn settle(&mut self, now: Millis) -> Vec<(WaitingCall, Outcome)> {
         self.gate.settle(now)
     }
 
-    /// Takes in an answer of a coordinator.
+    /// Applies an answer of a coordinator.
     pub fn answered(&mut self, answer: CreditAnswer, now: Millis) {
         self.gate.answered(answer, now);
     }
 
-    /// A call reached an upstream once more.
+    /// Charges a call to its tenant without waiting for a credit: a retry, or a call whose key
+    /// moved to this tenant.
     pub(crate) fn charge(&mut self, tenant: &CompiledTenant, now: Millis) {
         self.gate.charge(tenant_id(&tenant.name), now);
     }
 
-    /// A call with a credit reached no upstream.
+    /// Returns the credit of a call that reached no upstream.
     pub(crate) fn refund(&mut self, tenant: &CompiledTenant, now: Millis) {
         self.gate.refund(tenant_id(&tenant.name), now);
     }
 
-    /// A caller went away; returns how many of its calls waited.
+    /// Drops the waiting calls of a caller that disconnected, and returns their number.
     pub(crate) fn connection_ended(&mut self, connection: ConnectionId) -> usize {
         let before = self.gate.waiting();
         self.gate.retain(|call| call.origin.connection != connection);
         before - self.gate.waiting()
     }
 
-    /// All calls that wait, because the process ends.
+    /// Takes all waiting calls, because the process is stopping.
     pub(crate) fn take_waiting(&mut self) -> Vec<WaitingCall> {
         self.gate.take_waiting()
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.gate.waiting()
     }
 
-    /// When something is due though nothing comes.
+    /// Next time at which a timer is due.
     pub fn next_tick(&self, now: Millis) -> Option<Millis> {
         self.gate.next_tick(now)
     }
 
-    /// Takes in whether a coordinator can be asked.
+    /// Sets whether a coordinator is connected.
     pub fn set_linked(&mut self, linked: bool) {
         self.gate.set_linked(linked);
     }
 
-    /// What to send to a coordinator now, if anything.
+    /// The request to send to coordinator `to` now, if any.
     pub fn request(&mut self, to: u64, now: Millis) -> Option<CreditRequest> {
         self.gate.request(to, now)
     }
 
-    /// Does what is due now and then; `bounded`: whether any tenant has a limit.
-    pub fn run_maintenance(&mut self, bounded: bool, now: Millis) {
-        self.gate.set_bounded(bounded);
+    /// Expires old state and logs failures to reach a coordinator; to be called periodically.
+    /// `any_limit` tells whether any tenant has a limit.
+    pub fn run_maintenance(&mut self, any_limit: bool, now: Millis) {
+        self.gate.set_bounded(any_limit);
         self.gate.expire(now);
         let GateCounts { unanswered, alone, .. } = self.gate.counts;
         if (unanswered, alone) != (self.logged.unanswered, self.logged.alone) {
@@ -114,12 +117,12 @@
         }
     }
 
-    /// Totals since the start.
+    /// Totals since the process started.
     pub fn counts(&self) -> GateCounts {
         self.gate.counts
     }
 
-    /// Logs a refusal.
+    /// Logs a refusal if the call is sampled.
     pub(crate) fn log_refused(&self, id: &str, tenant: &CompiledTenant, refusal: Refusal) {
         if !self.sample.takes(id) {
             return;
--- a/crates/sidecar/src/tenants.rs
+++ b/crates/sidecar/src/tenants.rs
@@ -1,7 +1,7 @@
-//! Tenants of one generation, found by the keys that callers show.
+//! Tenants of one configuration generation, looked up by the API keys that callers present.
 //!
-//! Keys are looked up by a keyed digest: how long that takes depends on what no caller can compute,
-//! so it tells nothing of how near a wrong key is to a true one.
+//! Keys are looked up by a keyed digest (HMAC), which callers cannot compute, so the duration of a
+//! lookup does not reveal how close a wrong key is to a valid one.
 
 use bundle::{Bundle, Digest, Object, Tenant};
 use ring::hmac;
@@ -9,24 +9,24 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Bytes of the keyed digest that are kept: enough that no two keys ever meet.
+/// Number of bytes kept of the keyed digest: enough that collisions do not occur in practice.
 const DIGEST_BYTES: usize = 16;
-/// Bits of the combined rank that the route's takes.
+/// Low bits of the combined rank that hold the rank of the route.
 const ROUTE_RANK_BITS: u32 = 16;
-/// Largest rank of a tenant or a route that is told from larger ones.
-const LARGEST_RANK: u32 = (1 << ROUTE_RANK_BITS) - 1;
+/// Largest rank of a tenant or a route; larger ones count as this.
+const MAX_RANK: u32 = (1 << ROUTE_RANK_BITS) - 1;
 
-/// What stands for a key in memory: a digest under a key of this process.
+/// Digest of an API key under a secret of this process; stored instead of the API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Makes digests of keys; another one in each process.
+/// Computes digests of API keys, with a secret that is generated randomly in each process.
 pub struct KeyDigester(hmac::Key);
 
 impl Default for KeyDigester {
     fn default() -> Self {
         let key = hmac::Key::generate(hmac::HMAC_SHA256, &SystemRandom::new());
-        Self(key.expect("the system gives random bytes"))
+        Self(key.expect("the system random number generator works"))
     }
 }
 
@@ -34,23 +34,23 @@
     fn digest(&self, key: &[u8]) -> KeyDigest {
         let tag = hmac::sign(&self.0, key);
         let first = tag.as_ref().first_chunk();
-        KeyDigest(*first.expect("a tag of SHA-256 is longer than what is kept of it"))
+        KeyDigest(*first.expect("an HMAC-SHA-256 tag is longer than DIGEST_BYTES"))
     }
 }
 
-/// A tenant as calls need it.
+/// A tenant in the form used to process calls.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CompiledTenant {
     /// Its name.
     pub name: Rc<str>,
-    /// Its order among tenants, 0 first.
+    /// Its rank among tenants; 0 goes first.
     pub rank: Option<u32>,
-    /// Requests that it may send to all nodes together, thousandths a second; 0 means no limit.
+    /// Rate limit over all nodes together, thousandths of a request per second; 0 means no limit.
     pub rate_milli: u64,
-    /// Requests that it may send at once on top of its rate.
+    /// Number of requests that it may send in a burst on top of its rate.
     pub burst: u64,
     keys: Box<[KeyDigest]>,
-    /// Digest of the object that it was made from.
+    /// Digest of the configuration object that it was compiled from.
     source: Digest,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The tenant of a call, and by which key it is known.
+/// The tenant of a call and the key that identified it.
 #[derive(Clone, Debug)]
 pub struct KeyHolder {
     /// The tenant.
@@ -76,14 +76,14 @@
     pub key: KeyDigest,
 }
 
-/// Why no tenant is known by what a caller shows.
+/// Why a caller's API keys identify no tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyProblem {
-    /// It shows no key.
+    /// The call has no key.
     Missing,
-    /// It shows keys that differ.
+    /// The call has several different keys.
     Several,
-    /// No tenant has it.
+    /// The key belongs to no tenant.
     Unknown,
 }
 
@@ -97,81 +97,82 @@
     }
 }
 
-/// The tenants of one generation.
+/// The tenants of one configuration generation.
 #[derive(Debug, Default)]
 pub struct Tenants {
+    /// Sorted by name.
     tenants: Vec<Rc<CompiledTenant>>,
-    /// Keys, in order, with the places of their tenants.
+    /// Sorted keys with the indices of their tenants.
     by_key: Vec<(KeyDigest, u32)>,
 }
 
 impl Tenants {
-    /// Takes the tenants out of a bundle. Those that are in the generation before it as they are, are
-    /// taken from there: digests of their keys are what costs most.
-    pub fn compile(bundle: &Bundle, digester: &KeyDigester, before: &Rc<Self>) -> Rc<Self> {
+    /// Compiles the tenants of a bundle. Unchanged tenants are reused from the previous generation,
+    /// because computing the digests of their keys is the most expensive part.
+    pub fn compile(bundle: &Bundle, digester: &KeyDigester, previous: &Rc<Self>) -> Rc<Self> {
         let mut compiled = Vec::new();
         for hashed in bundle.objects().values() {
             let Object::Tenant(tenant) = &hashed.object else {
                 continue;
             };
-            let same = before.get(&tenant.name).filter(|held| held.source == hashed.digest);
-            let made = || Rc::new(CompiledTenant::compile(tenant, hashed.digest, digester));
-            compiled.push(same.cloned().unwrap_or_else(made));
+            let unchanged = previous.get(&tenant.name).filter(|old| old.source == hashed.digest);
+            let compile = || Rc::new(CompiledTenant::compile(tenant, hashed.digest, digester));
+            compiled.push(unchanged.cloned().unwrap_or_else(compile));
         }
-        if compiled.len() == before.tenants.len()
-            && compiled.iter().zip(&before.tenants).all(|(new, held)| Rc::ptr_eq(new, held))
+        if compiled.len() == previous.tenants.len()
+            && compiled.iter().zip(&previous.tenants).all(|(new, old)| Rc::ptr_eq(new, old))
         {
-            return before.clone();
+            return previous.clone();
         }
-        Rc::new(Self::of(compiled))
+        Rc::new(Self::from_sorted(compiled))
     }
 
-    /// Tenants in order of their names.
-    fn of(tenants: Vec<Rc<CompiledTenant>>) -> Self {
+    /// Indexes tenants that are sorted by name.
+    fn from_sorted(tenants: Vec<Rc<CompiledTenant>>) -> Self {
         let mut by_key = Vec::with_capacity(tenants.iter().map(|tenant| tenant.keys.len()).sum());
-        for (place, tenant) in (0..).zip(&tenants) {
-            by_key.extend(tenant.keys.iter().map(|key| (*key, place)));
+        for (index, tenant) in (0..).zip(&tenants) {
+            by_key.extend(tenant.keys.iter().map(|key| (*key, index)));
         }
         by_key.sort_unstable();
         Self { tenants, by_key }
     }
 
-    /// Whether calls need no keys, because there are no tenants.
+    /// Whether there are no tenants, so that calls need no keys.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// All tenants, by name.
+    /// All tenants, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<CompiledTenant>> {
         self.tenants.iter()
     }
 
-    /// Whether any of them has a limit.
+    /// Whether any tenant has a rate limit.
     pub fn any_limit(&self) -> bool {
         self.tenants.iter().any(|tenant| tenant.rate_milli > 0)
     }
 
-    /// A tenant by its name.
+    /// Finds a tenant by name.
     pub fn get(&self, name: &str) -> Option<&Rc<CompiledTenant>> {
-        let place = self.tenants.binary_search_by(|tenant| (*tenant.name).cmp(name)).ok()?;
-        self.tenants.get(place)
+        let index = self.tenants.binary_search_by(|tenant| (*tenant.name).cmp(name)).ok()?;
+        self.tenants.get(index)
     }
 
-    /// Who holds a key now.
+    /// The tenant that a key belongs to.
     pub fn holder(&self, key: KeyDigest) -> Option<&Rc<CompiledTenant>> {
-        let place = self.by_key.binary_search_by_key(&key, |(digest, _)| *digest).ok()?;
-        self.tenants.get(self.by_key[place].1 as usize)
+        let index = self.by_key.binary_search_by_key(&key, |(digest, _)| *digest).ok()?;
+        self.tenants.get(self.by_key[index].1 as usize)
     }
 
-    /// Who is known by the keys that a caller shows: the values of its header, blanks around them
-    /// aside.
+    /// Identifies the tenant by the keys that a caller presents: the values of its API key header,
+    /// with surrounding whitespace ignored.
     pub fn identify<'a>(
         &self,
-        mut shown: impl Iterator<Item = &'a [u8]>,
+        mut presented: impl Iterator<Item = &'a [u8]>,
         digester: &KeyDigester,
     ) -> Result<KeyHolder, KeyProblem> {
-        let first = shown.next().ok_or(KeyProblem::Missing)?.trim_ascii();
-        if shown.any(|other| other.trim_ascii() != first) {
+        let first = presented.next().ok_or(KeyProblem::Missing)?.trim_ascii();
+        if presented.any(|other| other.trim_ascii() != first) {
             return Err(KeyProblem::Several);
         }
         let key = digester.digest(first);
@@ -180,11 +181,11 @@
     }
 }
 
-/// The one rank of a call in all queues and refusals: its tenant's goes before its route's, and 0
-/// goes first. Ranks above 65,535 count as that. A call without a tenant, and one of a tenant
-/// without a rank, stand as the first tenants do: most are calls that a run waits for with a slot
-/// in its hands.
+/// Combined rank of a call for all queues and for load shedding: ordered by the tenant's rank, then
+/// by the route's; 0 goes first. Ranks above 65,535 count as 65,535. A call without a tenant, or of
+/// a tenant without a rank, counts as one of tenant rank 0: most such calls are made by running
+/// requests that occupy a slot until they are answered.
 pub fn combined_rank(tenant: Option<u32>, route: u32) -> u32 {
-    let tenant = tenant.unwrap_or_default().min(LARGEST_RANK);
-    tenant << ROUTE_RANK_BITS | route.min(LARGEST_RANK)
+    let tenant = tenant.unwrap_or_default().min(MAX_RANK);
+    tenant << ROUTE_RANK_BITS | route.min(MAX_RANK)
 }
