--- a/crates/sidecar/examples/tenant_cost.rs
+++ b/crates/sidecar/examples/tenant_cost.rs
@@ -1,5 +1,7 @@
-//! What tenants cost a sidecar: processor time and memory of a configuration with many, and time of
-//! a call with a key. `cargo run --release -p sidecar --example tenant_cost`
+//! Measures the cost of tenants in a sidecar: CPU time and memory of a configuration with many
+//! tenants, and the time per call with an API key.
+//!
+//! Run with `cargo run --release -p sidecar --example tenant_cost`.
 
 use bundle::{best_update, Bundle, Object, Priority, Route, Service, Target, Tenant};
 use http1::{Headers, Request};
@@ -80,26 +82,28 @@
     Bundle::from_objects(routes.chain(tenants).chain([service]).collect())
 }
 
-/// Memory of this process that is its own, kB.
+/// Resident memory of this process, kB.
 fn memory_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
-    let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("told");
+    let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS is listed");
     line.split_whitespace().nth(1).and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// Each row is a process of its own, so that its memory tells what the configuration takes.
+/// Measures each number of tenants in a separate process, so that its memory usage is due to that
+/// configuration.
 fn main() {
     if let Some(text) = std::env::args().nth(1) {
-        return row(text.parse().expect("a number of tenants"));
+        return measure(text.parse().expect("a number of tenants"));
     }
     let own = std::env::current_exe().expect("a path");
     for tenants in [0, 72, TENANTS] {
-        Command::new(&own).arg(tenants.to_string()).status().expect("it runs");
+        Command::new(&own).arg(tenants.to_string()).status().expect("child started");
     }
 }
 
-fn row(tenants: usize) {
-    // As it comes from a coordinator: nothing else of it was ever in this process.
+/// Measures one configuration and prints its row. Another process builds and encodes the first
+/// update, so that the memory measured here is the same as if it came from a coordinator.
+fn measure(tenants: usize) {
     let file = std::env::temp_dir().join(format!("tenant-cost-{}", std::process::id()));
     let own = std::env::current_exe().expect("a path");
     let arguments = [tenants.to_string(), file.display().to_string()];
@@ -108,10 +112,10 @@
         std::fs::write(file, bytes).expect("written");
         return;
     }
-    Command::new(own).args(arguments).status().expect("it runs");
-    let bytes = std::fs::read(&file).expect("written before");
-    std::fs::remove_file(&file).expect("it was there");
-    let first = Update::read_from_buffer(&bytes).expect("as it was written");
+    Command::new(own).args(arguments).status().expect("child started");
+    let bytes = std::fs::read(&file).expect("written by the child");
+    std::fs::remove_file(&file).expect("file exists");
+    let first = Update::read_from_buffer(&bytes).expect("valid update");
     let before = memory_kb();
     let mut config = Config::default();
     let since = Instant::now();
@@ -119,8 +123,8 @@
     let first_ms = since.elapsed().as_secs_f64() * 1_000.0;
     let kb = memory_kb().saturating_sub(before);
     let (routes, changed) = updates(tenants);
-    let route_ms = changes(&mut config, &routes);
-    let tenant_ms = changes(&mut config, &changed);
+    let route_ms = apply_updates(&mut config, &routes);
+    let tenant_ms = apply_updates(&mut config, &changed);
     config.currency.note(0, config.generation());
     println!(
         "{tenants} tenants: first {first_ms:.1} ms, {kb} kB ({} bytes on the wire); a changed route \
@@ -133,13 +137,13 @@
 
 type Update = bundle::BundleUpdate;
 
-/// Changes of a route, then changes of a tenant.
+/// Updates that each change one route, followed by updates that each change one tenant.
 fn updates(tenants: usize) -> (Vec<Update>, Vec<Update>) {
-    let mut held = bundle(tenants, 0, 0);
+    let mut current = bundle(tenants, 0, 0);
     let mut next = |route, tenant| {
         let new = bundle(tenants, route, tenant);
-        let update = best_update(Some(&held), &new);
-        held = new;
+        let update = best_update(Some(&current), &new);
+        current = new;
         update
     };
     let routes = (1..=CHANGES).map(|change| next(change as u32, 0)).collect();
@@ -147,8 +151,8 @@
     (routes, changed)
 }
 
-/// Milliseconds a change.
-fn changes(config: &mut Config, updates: &[Update]) -> f64 {
+/// Applies updates and returns the milliseconds per update.
+fn apply_updates(config: &mut Config, updates: &[Update]) -> f64 {
     let since = Instant::now();
     for update in updates {
         assert!(config.apply(config.generation() + 1, update));
@@ -156,7 +160,8 @@
     since.elapsed().as_secs_f64() * 1_000.0 / updates.len() as f64
 }
 
-/// Microseconds a call that finds no upstream, or is denied.
+/// Microseconds per call that finds no upstream, or per denied call if no tenant has a key at
+/// `position`.
 fn call_us(config: &Config, tenants: usize, position: usize) -> f64 {
     let own = NodeAddress { ip: Ipv4Addr::LOCALHOST, port: 1 };
     let bounds = BudgetBounds { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
--- a/crates/sidecar/tests/calls.rs
+++ b/crates/sidecar/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What becomes of a call: verdicts, repeats, deadlines, cancellation.
+//! Outcomes of calls: refusals, retries, deadlines, cancellation.
 
 mod common;
 
@@ -15,11 +15,11 @@
     let mut world = World::unconfigured();
     for path in ["/safe/1", "/nowhere/"] {
         let actions = world.begin("GET", path);
-        assert_eq!(status(&actions), Some(503), "{path}: the route may be there");
+        assert_eq!(status(&actions), Some(503), "{path}: the route may exist in the configuration");
         assert!(retry_after_ms(&actions).is_some(), "{path}");
         assert_eq!(world.calls.in_flight(), 0, "{path}");
     }
-    // Nothing of a refused call is left to run when the configuration comes.
+    // A refused call must not run once the configuration arrives.
     world.configure();
     world.add_upstream(1);
     assert!(world.calls.tick(world.now + 1_000).is_empty());
@@ -37,8 +37,8 @@
 
 #[test]
 fn final_answers_follow_from_what_is_certain() {
-    // What the first upstream said, whether the call may run twice, and what the caller gets when
-    // there is no second upstream.
+    // Name, whether the call is repeatable, how the attempt at the only upstream ends, and the
+    // status that the caller gets.
     type Row = (&'static str, bool, fn() -> AttemptEnd, u16);
     let rows: Vec<Row> = vec![
         ("not sent, safe", true, || AttemptEnd::NotSent, 503),
@@ -51,7 +51,7 @@
         ("answered", false, || replied(HopOutcome::Answered, 200), 200),
         ("failed by the upstream", false, || replied(HopOutcome::Answered, 500), 500),
         ("failed by the upstream, safe", true, || replied(HopOutcome::Answered, 500), 500),
-        ("rejected for what the caller sent", true, || replied(HopOutcome::Rejected, 400), 400),
+        ("rejected because of the request", true, || replied(HopOutcome::Rejected, 400), 400),
     ];
     for (name, safe, end, expected) in rows {
         let mut world = World::with_upstreams(1);
@@ -59,8 +59,8 @@
         let (attempt, _) = sent(&world.begin("POST", path)).expect("placed");
         let actions = world.calls.ended(attempt, end(), world.now);
         assert_eq!(status(&actions), Some(expected), "{name}");
-        let promises = expected == 503;
-        assert_eq!(retry_after_ms(&actions).is_some(), promises, "{name}");
+        let did_not_run = expected == 503;
+        assert_eq!(retry_after_ms(&actions).is_some(), did_not_run, "{name}");
         assert_eq!(world.calls.in_flight(), 0, "{name}");
     }
 }
@@ -70,14 +70,14 @@
     for path in ["/safe/1", "/unsafe/1"] {
         for end in [|| AttemptEnd::NotSent, || replied(HopOutcome::Refused, 503)] {
             let mut world = World::with_upstreams(3);
-            let mut seen = Vec::new();
+            let mut tried = Vec::new();
             let mut actions = world.begin("POST", path);
             while let Some((attempt, to)) = sent(&actions) {
-                assert!(!seen.contains(&to), "{path}: asked twice");
-                seen.push(to);
+                assert!(!tried.contains(&to), "{path}: tried twice");
+                tried.push(to);
                 actions = world.calls.ended(attempt, end(), world.now);
             }
-            assert_eq!(seen.len(), 3, "{path}");
+            assert_eq!(tried.len(), 3, "{path}");
             assert_eq!(status(&actions), Some(503));
         }
     }
@@ -90,9 +90,9 @@
     assert_eq!(status(&world.calls.ended(attempt, AttemptEnd::Lost, world.now)), Some(502));
 
     let (first, _) = sent(&world.begin("GET", "/safe/1")).expect("placed");
-    let again = world.calls.ended(first, AttemptEnd::Lost, world.now);
-    let (second, _) = sent(&again).expect("safe calls are repeated");
-    // The route allows two upstreams.
+    let retry = world.calls.ended(first, AttemptEnd::Lost, world.now);
+    let (second, _) = sent(&retry).expect("safe calls are retried");
+    // The route allows two attempts.
     assert_eq!(status(&world.calls.ended(second, AttemptEnd::Lost, world.now)), Some(502));
 }
 
@@ -101,7 +101,7 @@
     let mut world = World::with_upstreams(2);
     let (first, _) = sent(&world.begin("GET", "/safe/1")).expect("placed");
     let (second, _) =
-        sent(&world.calls.ended(first, AttemptEnd::Lost, world.now)).expect("repeated");
+        sent(&world.calls.ended(first, AttemptEnd::Lost, world.now)).expect("retried");
     assert!(world.calls.ended(first, replied(HopOutcome::Answered, 200), world.now).is_empty());
     let actions = world.calls.ended(second, replied(HopOutcome::Answered, 200), world.now);
     assert_eq!(status(&actions), Some(200));
@@ -110,9 +110,9 @@
 
 #[test]
 fn the_final_answer_comes_at_the_earlier_of_deadline_and_timeout() {
-    for (told, expected) in [(5_000, TIMEOUT_MS), (300, 300)] {
+    for (deadline_ms, expected) in [(5_000, TIMEOUT_MS), (300, 300)] {
         let mut world = World::with_upstreams(1);
-        let actions = world.begin_with_deadline("/safe/1", told);
+        let actions = world.begin_with_deadline("/safe/1", deadline_ms);
         let (attempt, _) = sent(&actions).expect("placed");
         assert!(world.calls.tick(world.now + expected - 1).is_empty());
         let actions = world.calls.tick(world.now + expected);
@@ -130,8 +130,8 @@
     let (first, _) = sent(&actions).expect("placed");
     let before = hop(&actions).expect("placed").deadline_ms;
     assert!(before < 1_000);
-    let again = world.calls.ended(first, AttemptEnd::NotSent, world.now + 200);
-    assert_eq!(hop(&again).expect("placed").deadline_ms, before - 200);
+    let retry = world.calls.ended(first, AttemptEnd::NotSent, world.now + 200);
+    assert_eq!(hop(&retry).expect("placed").deadline_ms, before - 200);
 }
 
 #[test]
@@ -164,10 +164,10 @@
 #[test]
 fn a_service_without_upstreams_is_waited_for_only_shortly() {
     let mut world = World::with_upstreams(0);
-    assert!(world.begin("GET", "/safe/1").is_empty(), "an upstream may come at any moment");
+    assert!(world.begin("GET", "/safe/1").is_empty(), "waits for an upstream");
     world.add_upstream(1);
     let actions = world.calls.tick(world.now + 50);
-    let (attempt, _) = sent(&actions).expect("it came");
+    let (attempt, _) = sent(&actions).expect("placed at the new upstream");
     world.calls.ended(attempt, replied(HopOutcome::Answered, 200), world.now);
 
     let mut world = World::with_upstreams(0);
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_call_with_a_short_target_waits_past_it_but_not_past_its_deadline() {
-    // An inner call: 100 ms are meant, 250 ms are left.
+    // An inner call with a target latency of 100 ms and a deadline in 250 ms.
     let mut world = World::with_upstreams(1);
     let actions = world.begin_with_deadline("/inner/1", 250);
     let patience = hop(&actions).expect("placed").patience_ms;
@@ -211,12 +211,12 @@
 fn a_call_is_offered_to_a_few_upstreams_only() {
     let mut world = World::with_upstreams(40);
     let mut actions = world.begin("GET", "/safe/1");
-    let mut asked = 0;
+    let mut offers = 0;
     while let Some((attempt, _)) = sent(&actions) {
-        asked += 1;
+        offers += 1;
         actions = world.calls.ended(attempt, replied(HopOutcome::Refused, 503), world.now);
     }
-    assert_eq!(asked, 5);
+    assert_eq!(offers, 5);
     assert_eq!(status(&actions), Some(503));
     assert!(retry_after_ms(&actions).is_some());
 }
@@ -237,31 +237,31 @@
 fn an_unknown_route_is_404_only_while_the_configuration_is_known_to_be_the_newest() {
     let mut world = World::with_upstreams(1);
     let mut text = String::new();
-    let mut look = |world: &mut World, what: &str| {
+    let mut record_status = |world: &mut World, case: &str| {
         let status = status(&world.begin("GET", "/nowhere/")).expect("answered");
-        writeln!(text, "{what}: {status}").expect("text");
+        writeln!(text, "{case}: {status}").expect("text");
     };
-    look(&mut world, "confirmed now");
+    record_status(&mut world, "just confirmed");
     world.now += 1_700;
-    look(&mut world, "1.7 s after it was asked for");
+    record_status(&mut world, "1.7 s after the confirmation was requested");
     world.now += 100;
-    look(&mut world, "1.8 s");
+    record_status(&mut world, "1.8 s");
     world.confirm(0);
-    look(&mut world, "a coordinator that hears no leader says nothing");
+    record_status(&mut world, "a coordinator without a leader confirms nothing");
     world.confirm(2);
-    look(&mut world, "another generation is the newest");
+    record_status(&mut world, "another generation is the newest");
     world.confirm(1);
-    look(&mut world, "a coordinator that is behind says otherwise");
+    record_status(&mut world, "a lagging coordinator reports the local generation");
     let known = sent(&world.begin("GET", "/safe/1")).is_some();
-    writeln!(text, "known routes are served all the same: {known}").expect("text");
+    writeln!(text, "known routes are still served: {known}").expect("text");
     expect![[r#"
-        confirmed now: 404
-        1.7 s after it was asked for: 404
+        just confirmed: 404
+        1.7 s after the confirmation was requested: 404
         1.8 s: 503
-        a coordinator that hears no leader says nothing: 503
+        a coordinator without a leader confirms nothing: 503
         another generation is the newest: 503
-        a coordinator that is behind says otherwise: 503
-        known routes are served all the same: true
+        a lagging coordinator reports the local generation: 503
+        known routes are still served: true
     "#]]
     .assert_eq(&text);
 }
@@ -304,13 +304,13 @@
 
 #[test]
 fn a_process_that_ends_gives_every_call_its_answer() {
-    // What became of the try, and what the caller gets.
+    // State of the attempt, path, whether it was sent completely, and the status the caller gets.
     type Row = (&'static str, &'static str, bool, u16);
     let rows: [Row; 4] = [
-        ("sent whole, unsafe", "/unsafe/1", true, 502),
-        ("sent whole, safe", "/safe/1", true, 502),
-        ("its body waits for a grant", "/unsafe/1", false, 503),
-        ("being opened", "/safe/1", false, 503),
+        ("sent completely, unsafe", "/unsafe/1", true, 502),
+        ("sent completely, safe", "/safe/1", true, 502),
+        ("body waits for a grant", "/unsafe/1", false, 503),
+        ("connection being opened", "/safe/1", false, 503),
     ];
     for (name, path, was_sent, expected) in rows {
         let mut world = World::with_upstreams(2);
@@ -326,12 +326,12 @@
 
 #[test]
 fn calls_are_sent_while_their_service_tells_of_room() {
-    // All calls are late, so most of them would be held back.
+    // All calls are late, so a part of them is shed unless the upstreams report free slots.
     let refused_of_forty = |load: Option<UpstreamLoad>| {
         let mut world = World::with_upstreams(2);
         let mut refused = 0;
         for _ in 0..10 {
-            // Long enough for what coordinators bring to count more than the answers before.
+            // Long enough for load reports from coordinators to replace those from earlier answers.
             world.now += 400;
             for host in 1..=2 {
                 let key = NodeAddress { ip: Ipv4Addr::new(10, 0, 0, host), port: 8_300 };
@@ -354,12 +354,12 @@
         refused
     };
     expect![[r#"
-        nothing told: 10
+        no load reports: 10
         all slots taken: 10
         most slots free: 0
     "#]]
     .assert_eq(&format!(
-        "nothing told: {}\nall slots taken: {}\nmost slots free: {}\n",
+        "no load reports: {}\nall slots taken: {}\nmost slots free: {}\n",
         refused_of_forty(None),
         refused_of_forty(Some(UpstreamLoad::new(9, 4, 100))),
         refused_of_forty(Some(UpstreamLoad::new(2, 0, 100))),
@@ -373,7 +373,8 @@
         let reply = HopReply { retry_after_ms, ..reply(HopOutcome::Refused) };
         AttemptEnd::Replied(reply, Response::empty(503))
     };
-    // An earlier call was told 160 ms by one of them; most of it is over, and it is not asked yet.
+    // One upstream refused an earlier call with a Retry-After of 160 ms. Most of that has passed,
+    // but the upstream is still skipped.
     let (earlier, _) = sent(&world.begin("GET", "/unsafe/1")).expect("placed");
     let actions = world.calls.ended(earlier, refused(160), world.now);
     let connection = world.connection();
@@ -382,9 +383,9 @@
     world.now += 149;
 
     let mut actions = world.begin("GET", "/unsafe/1");
-    let mut told = [900, 600].into_iter();
+    let mut retry_after = [900, 600].into_iter();
     while let Some((attempt, _)) = sent(&actions) {
-        let end = refused(told.next().expect("two others"));
+        let end = refused(retry_after.next().expect("two other upstreams"));
         actions = world.calls.ended(attempt, end, world.now);
     }
     assert_eq!(retry_after_ms(&actions), Some(600));
--- a/crates/sidecar/tests/decision_log.rs
+++ b/crates/sidecar/tests/decision_log.rs
@@ -1,4 +1,5 @@
-//! Every decision on a call leaves a line with what decided it; bodies and other headers do not.
+//! Every decision on a call is logged with its reasons. Bodies and unrelated headers are not
+//! logged.
 
 mod common;
 
@@ -19,11 +20,11 @@
 
 const SECRET: &str = "card-4711";
 
-/// Keeps each event as one line.
+/// Records each event as one line.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct LogLines(Arc<Mutex<Vec<String>>>);
 
-impl Lines {
+impl LogLines {
     fn take(&self) -> Vec<String> {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -44,7 +45,7 @@
     }
 }
 
-impl Subscriber for Lines {
+impl Subscriber for LogLines {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -69,18 +70,20 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// The lines that a story leaves.
-fn lines_of(story: impl FnOnce()) -> Vec<String> {
-    let lines = Lines::default();
-    tracing::subscriber::with_default(lines.clone(), story);
+/// The log lines of a scenario.
+fn logged_lines(scenario: impl FnOnce()) -> Vec<String> {
+    let lines = LogLines::default();
+    tracing::subscriber::with_default(lines.clone(), scenario);
     lines.take()
 }
 
-fn outbound(story: impl FnOnce(&mut World)) -> String {
+/// The log of a scenario on the outbound side.
+fn outbound(scenario: impl FnOnce(&mut World)) -> String {
     let mut world = World::with_upstreams(1);
-    lines_of(|| story(&mut world)).join("\n")
+    logged_lines(|| scenario(&mut world)).join("\n")
 }
 
+/// Begins a call and ends its attempt after 40 ms.
 fn end(world: &mut World, path: &str, end: AttemptEnd) {
     let (attempt, _) = sent(&world.begin("GET", path)).expect("placed");
     world.calls.ended(attempt, end, world.now + 40);
@@ -132,10 +135,11 @@
         }
     });
     let held_back = text.lines().find(|line| line.contains("like_calls_are_late"));
-    expect![[r#"call_refused id=id-5 route=unsafe service=fares reason="like_calls_are_late" part=0.40 retry_after_ms=409 verdict="not-run""#]].assert_eq(held_back.expect("some are held back"));
+    expect![[r#"call_refused id=id-5 route=unsafe service=fares reason="like_calls_are_late" part=0.40 retry_after_ms=409 verdict="not-run""#]].assert_eq(held_back.expect("some calls are shed"));
 }
 
-fn inbound(story: impl FnOnce(&mut Jobs)) -> String {
+/// The log of a scenario on the inbound side.
+fn inbound(scenario: impl FnOnce(&mut Jobs)) -> String {
     let metrics = JobMetrics::new(&Registry::default());
     let mut jobs = Jobs::new(NAMES, SERVICE, 2_000, None, LogSample::new(1), metrics);
     let id = "i-1".to_owned();
@@ -150,7 +154,7 @@
     };
     jobs.gate.told(&record, 1, 0);
     jobs.refresh_limit(0);
-    lines_of(|| story(&mut jobs)).join("\n")
+    logged_lines(|| scenario(&mut jobs)).join("\n")
 }
 
 fn begin(jobs: &mut Jobs, slot: u64, service: &str) -> Vec<JobAction> {
@@ -178,9 +182,11 @@
     jobs.begin(source, Rc::new(request), &hop, 10)
 }
 
+/// Begins a job and ends it 60 ms later; the probe that a failure may cause finds the upstream
+/// alive.
 fn end_first(jobs: &mut Jobs, end: UpstreamEnd) {
     let actions = begin(jobs, 1, SERVICE);
-    let JobAction::Run { job, .. } = &actions[0] else { panic!("it runs") };
+    let JobAction::Run { job, .. } = &actions[0] else { panic!("not started") };
     let ended = jobs.ended(*job, end, 70);
     if matches!(ended[..], [JobAction::Probe { again: false }]) {
         found_alive(jobs, 70);
@@ -230,7 +236,7 @@
     .assert_eq(&left);
     let crashed = inbound(|jobs| {
         let actions = begin(jobs, 1, SERVICE);
-        let JobAction::Run { job, .. } = &actions[0] else { panic!("it runs") };
+        let JobAction::Run { job, .. } = &actions[0] else { panic!("not started") };
         jobs.ended(*job, UpstreamEnd::Failed(ExchangeError::NoAnswer), 70);
         jobs.probed(false, 72);
     });
--- a/crates/sidecar/tests/hedge.rs
+++ b/crates/sidecar/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! Second tries of calls that take longer than nearly all of their like.
+//! Hedging of calls that take longer than nearly all similar calls.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 const USUAL_MS: u32 = 100;
 const SLOTS: u32 = 9;
-/// Calls of which what is usual is learned.
-const LEARNED: u32 = 300;
+/// Number of calls from which the usual time of a route is learned.
+const SAMPLES: u32 = 300;
 
 fn upstream(host: u8) -> NodeAddress {
     NodeAddress { ip: Ipv4Addr::new(10, 0, 0, host), port: 8_300 }
@@ -24,30 +24,31 @@
     AttemptEnd::Replied(reply, Response::empty(status))
 }
 
-/// Tells how many of its slots each upstream has in use.
-fn tell_loads(world: &mut World, running: u32) {
+/// Reports that each upstream runs this many calls.
+fn report_loads(world: &mut World, running: u32) {
     for host in 1..=3 {
         let load = UpstreamLoad::new(running, 0, USUAL_MS).with_pace(100);
         world.calls.view.note_load(&upstream(host), load, world.now);
     }
 }
 
-/// Three idle upstreams, and times of which one in thirty is seven times as long as the others.
-fn learned() -> World {
-    learned_in(World::with_upstreams(3))
+/// Three idle upstreams and known usual times. One call in thirty takes seven times as long as the
+/// others.
+fn trained() -> World {
+    train(World::with_upstreams(3))
 }
 
-fn learned_in(mut world: World) -> World {
+fn train(mut world: World) -> World {
     for path in ["/safe/1", "/unsafe/1"] {
-        for number in 0..LEARNED {
+        for number in 0..SAMPLES {
             let (attempt, _) = sent(&world.begin("GET", path)).expect("placed");
             let spent_ms = if number % 30 == 7 { 7 * USUAL_MS } else { USUAL_MS };
             world.calls.ended(attempt, answered(spent_ms, 200), world.now);
         }
     }
-    // The answers told loads; newer ones come through coordinators.
+    // Newer load reports from coordinators replace those in the answers.
     world.now += 1_000;
-    tell_loads(&mut world, 0);
+    report_loads(&mut world, 0);
     world
 }
 
@@ -58,15 +59,15 @@
     to: [NodeAddress; 2],
 }
 
-/// A call with two tries under way.
+/// A call with two active attempts.
 fn hedged() -> Hedged {
-    let mut world = learned();
+    let mut world = trained();
     let (first, first_to) = sent(&world.begin("GET", "/safe/1")).expect("placed");
     let (second, second_to) = sent(&wait(&mut world, 500)).expect("hedged");
     Hedged { world, first, second, to: [first_to, second_to] }
 }
 
-/// What is done within this time.
+/// Advances the time in steps of 10 ms and collects the actions.
 fn wait(world: &mut World, ms: u64) -> Vec<CallAction> {
     let mut actions = Vec::new();
     for _ in 0..ms / 10 {
@@ -77,11 +78,11 @@
 }
 
 fn aborted(actions: &[CallAction]) -> Vec<Attempt> {
-    let aborted = actions.iter().filter_map(|action| match action {
+    let attempts = actions.iter().filter_map(|action| match action {
         CallAction::Abort(attempt) => Some(*attempt),
         _ => None,
     });
-    aborted.collect()
+    attempts.collect()
 }
 
 #[test]
@@ -95,9 +96,9 @@
         assert_eq!(status(&actions), Some(200));
         assert_eq!(aborted(&actions), [loser]);
         assert_eq!(world.calls.in_flight(), 0);
-        // The other answer is on its way already.
+        // A late answer of the other attempt is ignored.
         assert!(world.calls.ended(loser, answered(USUAL_MS, 200), world.now).is_empty());
-        assert_eq!(world.calls.counts.answered, u64::from(LEARNED) * 2 + 1);
+        assert_eq!(world.calls.counts.answered, u64::from(SAMPLES) * 2 + 1);
         assert_eq!(world.calls.counts.hedges_won, u64::from(second_wins));
         for host in 1..=3 {
             let upstream = world.calls.view.get(&upstream(host)).expect("known");
@@ -109,18 +110,18 @@
 
 #[test]
 fn a_second_try_does_not_wait_for_a_slot_and_has_the_time_that_is_left() {
-    let mut world = learned();
+    let mut world = trained();
     let first = hop(&world.begin("GET", "/safe/1")).expect("placed");
     let actions = wait(&mut world, 500);
     let second = hop(&actions).expect("hedged");
     assert_eq!(second.patience_ms, 0);
     assert_eq!([first.repeat, first.hedge], [false, false]);
-    assert_eq!([second.repeat, second.hedge], [true, true], "the sidecar there knows what it is");
+    assert_eq!([second.repeat, second.hedge], [true, true], "the hedge is marked for the receiver");
     assert_eq!(first.usual_ms, second.usual_ms);
-    assert!((80..160).contains(&first.usual_ms), "{first:?}: learned");
+    assert!((80..160).contains(&first.usual_ms), "{first:?}: the learned time");
     assert!(second.deadline_ms < first.deadline_ms, "{second:?}");
     let held = first.deadline_ms - second.deadline_ms;
-    assert!((100..300).contains(&held), "{held}: longer than nearly all");
+    assert!((100..300).contains(&held), "{held}: longer than nearly all calls");
 }
 
 #[test]
@@ -130,7 +131,7 @@
     let rejected = || replied(HopOutcome::Rejected, 503);
     let unknown = || replied(HopOutcome::Unknown, 502);
     let failed = || answered(USUAL_MS, 500);
-    let kept_away = || {
+    let quarantined = || {
         let reply = HopReply { quarantine_left_ms: 9_000, ..reply(HopOutcome::Refused) };
         AttemptEnd::Replied(reply, Response::empty(503))
     };
@@ -142,51 +143,51 @@
         ("rejected", rejected),
         ("unknown", unknown),
         ("failed", failed),
-        ("quarantined", kept_away),
+        ("quarantined", quarantined),
     ];
-    let mut seen = String::new();
+    let mut text = String::new();
     for (name, end) in bad {
         for second_fails_first in [true, false] {
-            // One fails, the other answers.
+            // One attempt fails, the other is answered.
             let Hedged { mut world, first, second, .. } = hedged();
             let (one, other) = if second_fails_first { (second, first) } else { (first, second) };
             let actions = world.calls.ended(one, end(), world.now);
-            assert!(actions.is_empty(), "{name}: the other goes on: {actions:?}");
+            assert!(actions.is_empty(), "{name}: the other attempt continues: {actions:?}");
             let actions = world.calls.ended(other, answered(USUAL_MS, 200), world.now);
             assert_eq!(status(&actions), Some(200), "{name}");
-            assert!(aborted(&actions).is_empty(), "{name}: nothing is left");
+            assert!(aborted(&actions).is_empty(), "{name}: no attempt is left");
         }
-        // Both fail: one arrival of two is lost.
+        // Both attempts fail; the second is lost.
         let Hedged { mut world, first, second, .. } = hedged();
         assert!(world.calls.ended(first, end(), world.now).is_empty());
         let actions = world.calls.ended(second, lost(), world.now);
         let third = sent(&actions).is_some();
-        writeln!(seen, "{name}, then lost: {:?}, third try {third}", status(&actions))
+        writeln!(text, "{name}, then lost: {:?}, third attempt {third}", status(&actions))
             .expect("text");
     }
     expect![[r#"
-        not sent, then lost: None, third try true
-        lost, then lost: Some(502), third try false
-        refused, then lost: None, third try true
-        rejected, then lost: None, third try true
-        unknown, then lost: Some(502), third try false
-        failed, then lost: Some(500), third try false
-        quarantined, then lost: Some(502), third try false
+        not sent, then lost: None, third attempt true
+        lost, then lost: Some(502), third attempt false
+        refused, then lost: None, third attempt true
+        rejected, then lost: None, third attempt true
+        unknown, then lost: Some(502), third attempt false
+        failed, then lost: Some(500), third attempt false
+        quarantined, then lost: Some(502), third attempt false
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&text);
 }
 
 #[test]
 fn there_is_no_second_try_where_it_is_not_allowed_or_has_no_room() {
     type Row = (&'static str, fn() -> World, &'static str, bool);
     let rows: [Row; 8] = [
-        ("idle upstreams", learned, "/safe/1", true),
-        ("a call that may run once", learned, "/unsafe/1", false),
-        ("a route of which nothing is known", learned, "/inner/1", false),
+        ("idle upstreams", trained, "/safe/1", true),
+        ("a call that is not repeatable", trained, "/unsafe/1", false),
+        ("a route without known times", trained, "/inner/1", false),
         (
-            "switched off",
+            "hedging disabled",
             || {
-                let mut world = learned();
+                let mut world = trained();
                 world.calls.set_hedging(false);
                 world
             },
@@ -194,30 +195,30 @@
             false,
         ),
         (
-            "no slots",
+            "no free slots",
             || {
-                let mut world = learned();
-                tell_loads(&mut world, SLOTS);
+                let mut world = trained();
+                report_loads(&mut world, SLOTS);
                 world
             },
             "/safe/1",
             false,
         ),
         (
-            "one slot each",
+            "one free slot each",
             || {
-                let mut world = learned();
-                tell_loads(&mut world, SLOTS - 1);
+                let mut world = trained();
+                report_loads(&mut world, SLOTS - 1);
                 world
             },
             "/safe/1",
             false,
         ),
         (
-            "few slots of the service",
+            "few free slots of the service",
             || {
-                let mut world = learned();
-                tell_loads(&mut world, SLOTS - 3);
+                let mut world = trained();
+                report_loads(&mut world, SLOTS - 3);
                 let load = UpstreamLoad::new(SLOTS, 0, USUAL_MS).with_pace(100);
                 world.calls.view.note_load(&upstream(1), load, world.now);
                 world
@@ -226,9 +227,9 @@
             false,
         ),
         (
-            "no word of loads",
+            "no recent load reports",
             || {
-                let mut world = learned();
+                let mut world = trained();
                 world.now += 5_000;
                 world
             },
@@ -245,47 +246,48 @@
 
 #[test]
 fn a_call_that_had_its_upstreams_or_may_crash_them_gets_no_second_try() {
-    // The route allows two: the second is not hedged.
-    let mut world = learned();
+    // The route allows two attempts, so the second one is not hedged.
+    let mut world = trained();
     let (first, _) = sent(&world.begin("GET", "/safe/1")).expect("placed");
-    let again = world.calls.ended(first, AttemptEnd::Lost, world.now);
-    assert!(sent(&again).is_some(), "repeated");
-    tell_loads(&mut world, 0);
+    let retry = world.calls.ended(first, AttemptEnd::Lost, world.now);
+    assert!(sent(&retry).is_some(), "retried");
+    report_loads(&mut world, 0);
     assert!(sent(&wait(&mut world, 1_000)).is_none());
 
-    // Its first upstream refused it, and says that such a call ended one.
-    let mut world = learned();
+    // The first upstream refuses the call and reports that the same request crashed an upstream.
+    let mut world = trained();
     let (first, _) = sent(&world.begin("GET", "/safe/1")).expect("placed");
-    let told = HopReply { upstream_ended: true, ..reply(HopOutcome::Refused) };
-    let again =
-        world.calls.ended(first, AttemptEnd::Replied(told, Response::empty(503)), world.now);
-    assert!(sent(&again).is_some(), "it did not run, and goes elsewhere");
-    tell_loads(&mut world, 0);
+    let refusal = HopReply { upstream_ended: true, ..reply(HopOutcome::Refused) };
+    let retry =
+        world.calls.ended(first, AttemptEnd::Replied(refusal, Response::empty(503)), world.now);
+    assert!(sent(&retry).is_some(), "it did not run, so another upstream is tried");
+    report_loads(&mut world, 0);
     assert!(sent(&wait(&mut world, 1_000)).is_none());
 }
 
 #[test]
 fn second_tries_keep_within_their_part_of_the_bound() {
-    // Slack of the fleet, and the second tries of 25 slow calls of a window of their own.
-    let mut seen = String::new();
+    // Slack of the retry budget, and the number of hedges of 25 slow calls. The first calls have
+    // left the budget's window by then.
+    let mut text = String::new();
     for slack in [0.0, 9.0, 60.0] {
-        let mut world = learned_in(World::with_bounds(0.2, slack));
+        let mut world = train(World::with_bounds(0.2, slack));
         world.now += 11_000;
         for _ in 0..25 {
-            tell_loads(&mut world, 0);
+            report_loads(&mut world, 0);
             assert!(sent(&world.begin("GET", "/safe/1")).is_some());
             wait(&mut world, 300);
             let connection = world.connection();
             world.calls.connection_ended(connection, world.now);
         }
-        writeln!(seen, "{slack}: {}", world.calls.counts.hedges).expect("text");
+        writeln!(text, "{slack}: {}", world.calls.counts.hedges).expect("text");
     }
     expect![[r#"
         0: 0
         9: 1
         60: 6
     "#]]
-    .assert_eq(&seen);
+    .assert_eq(&text);
 }
 
 #[test]
@@ -306,18 +308,18 @@
 
 #[test]
 fn whatever_ends_the_call_stops_both_tries() {
-    // Its caller leaves.
+    // The caller disconnects.
     let Hedged { mut world, first, second, .. } = hedged();
     let connection = world.connection();
     let actions = world.calls.connection_ended(connection, world.now);
     assert_eq!(aborted(&actions), [first, second]);
     assert!(wait(&mut world, 3_000).is_empty());
-    // Its time is over.
+    // The deadline passes.
     let Hedged { mut world, first, second, .. } = hedged();
     let actions = wait(&mut world, TIMEOUT_MS);
     assert_eq!(status(&actions), Some(504));
     assert_eq!(aborted(&actions), [first, second]);
-    // The process ends: it may have run if either was sent.
+    // The process stops: the call may have run if either attempt was sent.
     for (sent, expected) in [([true, true], 502), ([false, true], 502), ([false, false], 503)] {
         let Hedged { mut world, first, second, .. } = hedged();
         let was_sent = |attempt| if attempt == first { sent[0] } else { sent[1] };
@@ -336,7 +338,7 @@
     let mut until = Vec::new();
     for _ in 0..5 {
         let actions = world.begin_from(Initiator::RepeatedRun, "/inner/1");
-        assert!(sent(&actions).is_some(), "begun work is not refused for it");
+        assert!(sent(&actions).is_some(), "calls made by a running request are not refused");
         until.push(world.calls.hedges_barred_until());
     }
     expect!["[0, 0, 31000, 31000, 31000]"].assert_eq(&format!("{until:?}"));
@@ -344,22 +346,22 @@
 
 #[test]
 fn calls_with_large_answers_get_no_second_try() {
-    let mut seen = Vec::new();
+    let mut was_hedged = Vec::new();
     for bytes in [400, 90_000] {
         let mut world = World::with_upstreams(3);
-        for number in 0..LEARNED {
+        for number in 0..SAMPLES {
             let (attempt, _) = sent(&world.begin("GET", "/safe/1")).expect("placed");
             let spent_ms = if number % 30 == 7 { 7 * USUAL_MS } else { USUAL_MS };
             let AttemptEnd::Replied(reply, mut response) = answered(spent_ms, 200) else {
-                panic!("it is an answer");
+                panic!("not an answer");
             };
             response.body = vec![b'x'; bytes];
             world.calls.ended(attempt, AttemptEnd::Replied(reply, response), world.now);
         }
         world.now += 1_000;
-        tell_loads(&mut world, 0);
+        report_loads(&mut world, 0);
         assert!(sent(&world.begin("GET", "/safe/1")).is_some());
-        seen.push(sent(&wait(&mut world, 500)).is_some());
+        was_hedged.push(sent(&wait(&mut world, 500)).is_some());
     }
-    assert_eq!(seen, [true, false], "they would wait for two links");
+    assert_eq!(was_hedged, [true, false], "a hedge of a large answer would wait on a second link");
 }
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Sidecars and coordinators that tell each other of poison requests, in virtual time.
+//! Simulation in virtual time of sidecars and coordinators that exchange news of poison requests.
 
 use http1::{Headers, Request};
 use mesh::{Fingerprint, HopReply, NodeAddress, PoisonNotice};
@@ -8,28 +8,29 @@
 use std::net::Ipv4Addr;
 use tracing::info;
 
-/// Within this time after the last fault every sidecar runs a request that was cleared: the stated
-/// time for any change to be in force everywhere, milliseconds.
-pub const SERVE_ALL_MS: u64 = 6_000;
-/// The same time, for word of a quarantine.
-pub const SPREAD_MS: u64 = 6_000;
-/// Longest that it may take a poison request to be found out once it is called, milliseconds.
-const FOUND_OUT_MS: u64 = 20_000;
+/// Maximum time after the last fault until every sidecar runs a cleared request, milliseconds: the
+/// specified time for any change to be in force everywhere.
+pub const CLEARING_SPREAD_MS: u64 = 6_000;
+/// The same limit for a quarantine.
+pub const QUARANTINE_SPREAD_MS: u64 = 6_000;
+/// Maximum time until a poison request that is being called is quarantined, milliseconds.
+const DETECTION_MS: u64 = 20_000;
 
 const SERVICE: &str = "svc";
 const STEP_MS: u64 = 10;
 const CALLERS: usize = 2;
 const SIDECARS: usize = 6;
 const COORDINATORS: usize = 3;
-/// Coordinators that a sidecar is linked to; it subscribes to one of them.
+/// Number of coordinators that a sidecar is linked to; it subscribes to one of them.
 const LINKS: usize = 2;
-/// Time between two tellings of a coordinator to others, as in its loop.
-const EXCHANGE_MS: u64 = 50;
-/// Time between two calls, and from the end of an upstream to its next start.
-const CALL_MS: u64 = 60;
+/// Interval at which a coordinator sends its news to the others, as in its production loop.
+const EXCHANGE_INTERVAL_MS: u64 = 50;
+/// Interval between calls.
+const CALL_INTERVAL_MS: u64 = 60;
+/// Time from the crash of an upstream to its restart.
 const RESTART_MS: u64 = 1_000;
-/// An operator acts some time after the request was found out.
-const OPERATOR_MS: u64 = 3_000;
+/// Time until an operator clears a quarantined request.
+const OPERATOR_DELAY_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Node {
@@ -37,13 +38,13 @@
     Coordinator(usize),
 }
 
-/// One way from one process to another.
+/// One direction of a connection between two processes.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
-    /// Rises with each connection that is made.
+    /// Increases with each connection, so that frames of earlier connections are recognized.
     number: u64,
     delay_ms: u64,
-    /// When the last frame arrives: those after it come no earlier.
+    /// Arrival time of the last frame; later frames do not arrive before it.
     last_at: u64,
 }
 
@@ -65,20 +66,21 @@
     sequence: u64,
     frames: BTreeMap<(u64, u64), Frame>,
     connections: BTreeMap<(Node, Node), Connection>,
-    /// Connections that are down, and until when.
+    /// Connections that cannot be opened, with the time when they can be again.
     down: BTreeMap<(Node, Node), u64>,
     next_number: u64,
     watches: Vec<PoisonWatch>,
     boards: Vec<NoticeBoard>,
     upstreams: Vec<Upstream>,
-    /// Which coordinators a sidecar is linked to; the first that is there tells it of others.
+    /// Coordinators that each sidecar is linked to; it subscribes to the first that is reachable.
     linked: Vec<Vec<usize>>,
     subscribed: Vec<Option<usize>>,
-    told: BTreeMap<(Node, Node), u64>,
-    /// How often each coordinator started anew.
+    /// Position on the sender's notice board up to which the receiver has been sent notices.
+    sent_up_to: BTreeMap<(Node, Node), u64>,
+    /// Number of restarts of each coordinator.
     restarts: [u32; COORDINATORS],
     crashes: u32,
-    mended: bool,
+    fixed: bool,
     next_fault: Option<u64>,
     faults_end: u64,
 }
@@ -103,11 +105,11 @@
 }
 
 fn refusal() -> HopReply {
-    HopReply::decode("r 0 0 9 0 0 0 r").expect("it is one")
+    HopReply::decode("r 0 0 9 0 0 0 r").expect("valid reply")
 }
 
 impl Fleet {
-    /// A fleet that is linked, and calm.
+    /// Creates a connected fleet without faults.
     pub fn new(seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let linked = (0..SIDECARS).map(|_| {
@@ -130,10 +132,10 @@
             upstreams: (0..SIDECARS).map(|_| Upstream { starts: 1, back_at: 0 }).collect(),
             linked,
             subscribed: vec![None; SIDECARS],
-            told: BTreeMap::new(),
+            sent_up_to: BTreeMap::new(),
             restarts: [0; COORDINATORS],
             crashes: 0,
-            mended: false,
+            fixed: false,
             next_fault: None,
             faults_end: 0,
         };
@@ -145,17 +147,17 @@
         self.now
     }
 
-    /// Upstreams that ended so far.
+    /// Number of upstream crashes so far.
     pub fn crashes(&self) -> u32 {
         self.crashes
     }
 
-    pub fn mend_upstreams(&mut self) {
-        self.mended = true;
+    pub fn fix_upstreams(&mut self) {
+        self.fixed = true;
     }
 
-    /// Faults begin to come now, and end at a time.
-    pub fn faults_until(&mut self, end: u64) {
+    /// Injects faults from now until `end`.
+    pub fn inject_faults_until(&mut self, end: u64) {
         self.next_fault = Some(self.now);
         self.faults_end = end;
     }
@@ -166,25 +168,27 @@
         }
     }
 
-    /// Callers repeat the request until two more upstreams ended and a coordinator says so; an error
-    /// if that does not happen.
+    /// Calls with the request until two more upstreams crashed and a coordinator lists the
+    /// quarantine. Fails if that does not happen in time.
     pub fn crash_until_in_quarantine(&mut self) -> Result<(), String> {
-        let (before, end) = (self.crashes, self.now + FOUND_OUT_MS);
+        let (before, end) = (self.crashes, self.now + DETECTION_MS);
         while self.crashes < before + 2 || !self.is_listed() {
             if self.now >= end {
-                let holder = self.who_keeps_it_away();
-                return Err(format!("not run again for {FOUND_OUT_MS} ms: {holder:?}"));
+                let quarantine = self.find_quarantine();
+                return Err(format!(
+                    "not run and quarantined in {DETECTION_MS} ms: {quarantine:?}"
+                ));
             }
             self.call();
-            self.run_until(self.now + CALL_MS);
+            self.run_until(self.now + CALL_INTERVAL_MS);
         }
         Ok(())
     }
 
-    pub fn call_often_until(&mut self, end: u64) {
+    pub fn call_repeatedly_until(&mut self, end: u64) {
         while self.now < end {
             self.call();
-            self.run_until(self.now + CALL_MS);
+            self.run_until(self.now + CALL_INTERVAL_MS);
         }
     }
 
@@ -192,29 +196,31 @@
         self.boards.iter().any(|board| !board.entries(self.now).is_empty())
     }
 
-    /// An operator clears the request at a coordinator that lists it, and at another one if that ends
-    /// before another has it; returns when it is done. Faults come from a moment before.
-    pub fn clear_it(&mut self) -> u64 {
-        let clears_at = self.now + OPERATOR_MS;
+    /// Lets an operator clear the request at a coordinator that lists it, and again at another one
+    /// if the first restarts before it has passed the clearing on. Returns the time of completion.
+    /// Faults start shortly before.
+    pub fn clear_request(&mut self) -> u64 {
+        let clears_at = self.now + OPERATOR_DELAY_MS;
         let ahead_ms = self.random.u64(0..300);
         self.run_until(clears_at - ahead_ms);
-        self.faults_until(clears_at + 1_000);
+        self.inject_faults_until(clears_at + 1_000);
         self.run_until(clears_at);
         while !self.clear_once() {}
         self.now
     }
 
-    /// Whether it is cleared: no coordinator lists it, or a second one has the clearing.
+    /// Clears the request at one coordinator. Returns whether the request is cleared: no
+    /// coordinator lists it, or a second one has the clearing.
     fn clear_once(&mut self) -> bool {
-        let clears = |board: &mut NoticeBoard| board.clear(poison(), self.now);
-        let Some(coordinator) = self.boards.iter_mut().position(clears) else {
+        let clear = |board: &mut NoticeBoard| board.clear(poison(), self.now);
+        let Some(coordinator) = self.boards.iter_mut().position(clear) else {
             return true;
         };
         info!(at_ms = self.now, coordinator, "cleared");
         let restarts = self.restarts[coordinator];
-        let end = self.now + FOUND_OUT_MS;
+        let end = self.now + DETECTION_MS;
         while self.restarts[coordinator] == restarts {
-            assert!(self.now < end, "no other coordinator has the clearing");
+            assert!(self.now < end, "no other coordinator got the clearing");
             if !self.boards[coordinator].is_held_here_only(poison()) {
                 return true;
             }
@@ -223,12 +229,14 @@
         false
     }
 
-    /// A sidecar that keeps the request from upstreams, if there is one.
-    pub fn who_keeps_it_away(&self) -> Option<String> {
-        let holds = |sidecar: &usize| self.left_ms(*sidecar).is_some();
-        let holder = (0..SIDECARS).find(holds)?;
+    /// Describes a sidecar that has the request in quarantine, if there is one.
+    pub fn find_quarantine(&self) -> Option<String> {
+        let has_quarantine = |sidecar: &usize| self.left_ms(*sidecar).is_some();
+        let sidecar = (0..SIDECARS).find(has_quarantine)?;
         let board = self.boards.iter().position(|board| !board.entries(self.now).is_empty());
-        Some(format!("sidecar {holder} keeps it away; a coordinator that does: {board:?}"))
+        Some(format!(
+            "sidecar {sidecar} has it in quarantine; a coordinator that lists it: {board:?}"
+        ))
     }
 
     fn left_ms(&self, sidecar: usize) -> Option<u64> {
@@ -238,7 +246,7 @@
         }
     }
 
-    /// One caller sends the request to one upstream.
+    /// Sends the request from a random caller to a random upstream.
     pub fn call(&mut self) {
         let caller = self.random.usize(..CALLERS);
         let upstream = self.random.usize(CALLERS..SIDECARS);
@@ -252,7 +260,7 @@
             self.watches[caller].note_quarantine_refusal(SERVICE, &request(), &refusal, self.now);
             return;
         }
-        if self.mended {
+        if self.fixed {
             self.watches[upstream].note_completed(poison(), self.now);
             return;
         }
@@ -266,13 +274,13 @@
 
     fn step(&mut self) {
         self.now += STEP_MS;
-        self.strike();
+        self.inject_fault();
         self.connect();
         self.deliver();
-        self.tell();
+        self.send_news();
     }
 
-    /// Links and connections between coordinators that may be made are made.
+    /// Opens all links and connections between coordinators that are not down.
     fn connect(&mut self) {
         let now = self.now;
         self.down.retain(|_, until| now < *until);
@@ -284,8 +292,8 @@
                 }
                 self.open(here, there);
                 self.open(there, here);
-                let known = self.watches[sidecar].full_report(now);
-                self.send(here, there, known);
+                let report = self.watches[sidecar].full_report(now);
+                self.send(here, there, report);
             }
             self.subscribe(sidecar);
         }
@@ -294,13 +302,13 @@
                 let (from, to) = (Node::Coordinator(from), Node::Coordinator(to));
                 if !self.connections.contains_key(&(from, to)) && !self.is_down(from, to) {
                     self.open(from, to);
-                    self.told.remove(&(from, to));
+                    self.sent_up_to.remove(&(from, to));
                 }
             }
         }
     }
 
-    /// A sidecar without a coordinator that tells it of others asks one.
+    /// Subscribes a sidecar to the first reachable coordinator, unless its subscription is active.
     fn subscribe(&mut self, sidecar: usize) {
         let linked = |coordinator: &usize| {
             let ends = (Node::Coordinator(*coordinator), Node::Sidecar(sidecar));
@@ -312,7 +320,7 @@
         let next = self.linked[sidecar].iter().copied().find(linked);
         self.subscribed[sidecar] = next;
         if let Some(coordinator) = next {
-            self.told.remove(&(Node::Coordinator(coordinator), Node::Sidecar(sidecar)));
+            self.sent_up_to.remove(&(Node::Coordinator(coordinator), Node::Sidecar(sidecar)));
         }
     }
 
@@ -321,8 +329,8 @@
     }
 
     fn open(&mut self, from: Node, to: Node) {
-        let calm = self.next_fault.is_none();
-        let slow = !calm && self.random.u8(..) < 40;
+        let no_faults = self.next_fault.is_none();
+        let slow = !no_faults && self.random.u8(..) < 40;
         let delay_ms = if slow { self.random.u64(300..1_500) } else { self.random.u64(1..40) };
         let number = self.next_number;
         self.next_number += 1;
@@ -352,8 +360,8 @@
     fn deliver(&mut self) {
         let later = self.frames.split_off(&(self.now + 1, 0));
         for (_, frame) in std::mem::replace(&mut self.frames, later) {
-            let held = self.connections.get(&(frame.from, frame.to));
-            if held.is_none_or(|held| held.number != frame.number) {
+            let connection = self.connections.get(&(frame.from, frame.to));
+            if connection.is_none_or(|connection| connection.number != frame.number) {
                 continue;
             }
             match frame.to {
@@ -362,10 +370,11 @@
                     self.watches[sidecar].apply_notices(frame.notices, self.now);
                 }
                 Node::Coordinator(coordinator) => {
-                    let here = matches!(frame.from, Node::Sidecar(_));
+                    let from_sidecar = matches!(frame.from, Node::Sidecar(_));
                     for notice in frame.notices {
                         let (age_ms, news) = (notice.age_ms, notice.news.clone());
-                        let taken = self.boards[coordinator].take(notice, here, self.now).is_some();
+                        let taken =
+                            self.boards[coordinator].take(notice, from_sidecar, self.now).is_some();
                         let at_ms = self.now;
                         info!(at_ms, coordinator, from = ?frame.from, age_ms, ?news, taken, "told");
                     }
@@ -374,43 +383,45 @@
         }
     }
 
-    fn tell(&mut self) {
+    /// Sends the news of sidecars to their coordinators, and notices of coordinators to
+    /// subscribers.
+    fn send_news(&mut self) {
         for sidecar in 0..SIDECARS {
-            let untold = self.watches[sidecar].take_unsent();
+            let unsent = self.watches[sidecar].take_unsent();
             for coordinator in self.linked[sidecar].clone() {
-                self.send(Node::Sidecar(sidecar), Node::Coordinator(coordinator), untold.clone());
+                self.send(Node::Sidecar(sidecar), Node::Coordinator(coordinator), unsent.clone());
             }
             if let Some(coordinator) = self.subscribed[sidecar] {
                 let ends = (Node::Coordinator(coordinator), Node::Sidecar(sidecar));
-                let position = self.told.get(&ends).copied().unwrap_or(0);
+                let position = self.sent_up_to.get(&ends).copied().unwrap_or(0);
                 let notices = self.boards[coordinator].since(position, self.now);
-                self.told.insert(ends, self.boards[coordinator].position());
+                self.sent_up_to.insert(ends, self.boards[coordinator].position());
                 self.send(ends.0, ends.1, notices);
             }
         }
-        if self.now.is_multiple_of(EXCHANGE_MS) {
+        if self.now.is_multiple_of(EXCHANGE_INTERVAL_MS) {
             self.exchange();
         }
     }
 
-    /// Coordinators tell each other what sidecars told them.
+    /// Sends notices that coordinators got from sidecars to the other coordinators.
     fn exchange(&mut self) {
         for from in 0..COORDINATORS {
             for to in (0..COORDINATORS).filter(|to| *to != from) {
                 let ends = (Node::Coordinator(from), Node::Coordinator(to));
-                let notices = match self.told.get(&ends) {
+                let notices = match self.sent_up_to.get(&ends) {
                     Some(position) => self.boards[from].told_since(*position, self.now),
                     None => self.boards[from].all(self.now),
                 };
-                self.told.insert(ends, self.boards[from].position());
+                self.sent_up_to.insert(ends, self.boards[from].position());
                 self.send(ends.0, ends.1, notices);
             }
         }
     }
 
-    /// A connection is lost, a coordinator starts anew or is cut off, a sidecar without an upstream
-    /// starts anew.
-    fn strike(&mut self) {
+    /// Injects a fault if one is due: loses a link, cuts off or restarts a coordinator, or restarts
+    /// a sidecar without an upstream.
+    fn inject_fault(&mut self) {
         let due = self.next_fault.is_some_and(|at| at <= self.now);
         if !due {
             return;
@@ -458,6 +469,6 @@
         let Node::Coordinator(index) = coordinator else { return };
         self.boards[index] = NoticeBoard::default();
         self.restarts[index] += 1;
-        self.told.retain(|(from, _), _| *from != coordinator);
+        self.sent_up_to.retain(|(from, _), _| *from != coordinator);
     }
 }
--- a/crates/sidecar/tests/poison_news.rs
+++ b/crates/sidecar/tests/poison_news.rs
@@ -1,40 +1,40 @@
-//! What happened: after an operator cleared a request that had crashed upstreams, sidecars went on
-//! refusing it, for 40 s and more; and one that was rightly in quarantine again was let through, and
-//! ended up to two more upstreams a sidecar, whenever a coordinator or a link had come back.
+//! Guards against quarantines that come back after an operator cleared a request, and against
+//! clearings that end a newer quarantine.
 //!
-//! Cause, one matter with three faces. A clearing did not say what it clears, and was told once:
-//! - A coordinator that was cut off, or started anew, at that moment never heard of it. It went on telling
-//!   sidecars the crashes (seed 2: cleared at 1004120 at coordinator 0, cut off from 1 since 1003840; at
-//!   1005840 coordinator 1 tells a sidecar that links anew: `request_quarantined`, no `clearing_learned`).
-//! - What sidecars tell a coordinator that is new to them held quarantines and no clearings, so one that
-//!   had not heard brought it back for all (seed 8: `quarantine_told ... taken=true` at 1005300).
-//! - A clearing that came again, 40 s old, ended whatever quarantine was held by then
-//!   (`clearing_learned ... age_ms=3420 held=true` behind `request_quarantined` in each new link).
+//! Both happened while a clearing did not say what it clears and was sent only once. Sidecars went
+//! on refusing a cleared request for 40 s and more, and a request that was rightly in quarantine
+//! again crashed up to two more upstreams per sidecar after a coordinator or a link had come back:
 //!
-//! And one that died with the coordinator at which an operator made it was gone, though the operator had
-//! been told that it was done.
+//! - A coordinator that was cut off or restarted at that moment missed the clearing and kept
+//!   sending the crashes to sidecars that connected to it (seen with seed 2).
+//! - The report of a sidecar to a new coordinator contained quarantines but no clearings, so a
+//!   coordinator that had missed a clearing reinstated the quarantine on all nodes (seed 8).
+//! - A clearing that was received again 40 s later ended whatever quarantine was in force by then.
+//! - A clearing was lost if the coordinator at which the operator made it failed after confirming
+//!   it.
 //!
-//! Since then a quarantine names the crashes that it rests on, and a clearing those that it ends; both may
-//! come in any order, late or again. Clearings are remembered, told with each new link and connection, and
-//! an operator is answered once a second coordinator has his.
+//! Quarantines therefore name the crashes that they are based on and clearings the crashes that
+//! they end, so both may arrive in any order, late or repeatedly. Clearings are remembered and sent
+//! on each new link and connection, and the operator gets the confirmation once a second
+//! coordinator has the clearing.
 //!
-//! A fleet in virtual time over the real cores (`PoisonWatch`, `NoticeBoard`). Frames of one
-//! connection come in order and late; a connection that ends loses those under way. Coordinators
-//! start anew and are cut off from each other, just while a request is cleared.
+//! The test simulates a fleet in virtual time with the production types `PoisonWatch` and
+//! `NoticeBoard`. Frames on one connection arrive in order but late, and are lost if the connection
+//! ends. Coordinators restart and are cut off from each other while a request is cleared.
 
 mod poison_fleet;
 
-use poison_fleet::{Fleet, SERVE_ALL_MS, SPREAD_MS};
+use poison_fleet::{Fleet, CLEARING_SPREAD_MS, QUARANTINE_SPREAD_MS};
 
-/// Draws of faults; each is another order of arrival.
+/// Number of seeds; each draws different faults and delays.
 const SEEDS: u64 = 300;
-/// How long faults come after a clearing, milliseconds.
+/// How long faults continue after a clearing, milliseconds.
 const FAULTS_MS: u64 = 5_000;
 
-/// Fails with the first seeds that show what a fleet must not do.
-fn assert_holds(play: impl Fn(&mut Fleet) -> Result<(), String>) {
+/// Runs a scenario with each seed and fails with the first seeds for which it reports a problem.
+fn assert_holds(scenario: impl Fn(&mut Fleet) -> Result<(), String>) {
     let broken = |seed| {
-        let problem = play(&mut Fleet::new(seed)).err()?;
+        let problem = scenario(&mut Fleet::new(seed)).err()?;
         Some(format!("seed {seed}: {problem}"))
     };
     let broken: Vec<String> = (0..SEEDS).filter_map(broken).collect();
@@ -42,44 +42,44 @@
     assert!(broken.is_empty(), "{} of {SEEDS} seeds:\n{first}", broken.len());
 }
 
-/// The upstreams were mended, and an operator says so.
-fn clear_a_mended_one(fleet: &mut Fleet, called_meanwhile: bool) -> Result<(), String> {
+/// The upstreams are fixed and an operator clears the request, which then must run everywhere.
+fn clear_after_fix(fleet: &mut Fleet, called_meanwhile: bool) -> Result<(), String> {
     fleet.crash_until_in_quarantine()?;
-    fleet.mend_upstreams();
-    let end = fleet.clear_it() + FAULTS_MS;
-    fleet.faults_until(end);
+    fleet.fix_upstreams();
+    let end = fleet.clear_request() + FAULTS_MS;
+    fleet.inject_faults_until(end);
     if called_meanwhile {
-        fleet.call_often_until(end);
+        fleet.call_repeatedly_until(end);
     }
-    fleet.run_until(end + SERVE_ALL_MS);
-    fleet.who_keeps_it_away().map_or(Ok(()), Err)
+    fleet.run_until(end + CLEARING_SPREAD_MS);
+    fleet.find_quarantine().map_or(Ok(()), Err)
 }
 
 #[test]
 fn a_request_that_was_cleared_is_run_again_through_every_sidecar() {
-    assert_holds(|fleet| clear_a_mended_one(fleet, false));
+    assert_holds(|fleet| clear_after_fix(fleet, false));
 }
 
 #[test]
 fn a_request_that_was_cleared_stays_so_while_it_is_called() {
-    assert_holds(|fleet| clear_a_mended_one(fleet, true));
+    assert_holds(|fleet| clear_after_fix(fleet, true));
 }
 
-/// The upstreams were not mended: it is found out again, and stays found out.
+/// The upstreams are not fixed, so the request is quarantined again and must stay in quarantine.
 #[test]
 fn a_quarantine_that_is_newer_than_the_clearing_outlasts_lost_links_and_coordinators() {
     assert_holds(|fleet| {
         fleet.crash_until_in_quarantine()?;
-        fleet.clear_it();
+        fleet.clear_request();
         fleet.crash_until_in_quarantine()?;
         let in_quarantine_at = fleet.now();
-        fleet.faults_until(in_quarantine_at + 20_000);
-        fleet.run_until(in_quarantine_at + SPREAD_MS);
+        fleet.inject_faults_until(in_quarantine_at + 20_000);
+        fleet.run_until(in_quarantine_at + QUARANTINE_SPREAD_MS);
         let before = fleet.crashes();
-        fleet.call_often_until(in_quarantine_at + 50_000);
+        fleet.call_repeatedly_until(in_quarantine_at + 50_000);
         match fleet.crashes() - before {
             0 => Ok(()),
-            more => Err(format!("{more} upstreams ended after all had heard of it")),
+            more => Err(format!("{more} upstreams crashed after the quarantine had spread")),
         }
     });
 }
--- a/crates/sidecar/tests/quotas.rs
+++ b/crates/sidecar/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas of tenants at the outbound side: who waits, who goes on, who is refused, and with what.
+//! Tenant quotas at the outbound side: which calls wait, proceed or are refused, and with which
+//! answer.
 
 mod common;
 
@@ -12,8 +13,8 @@
 const COORDINATOR: u64 = 1;
 
 fn bundle_with(rate_milli: u64) -> Bundle {
-    let whole = bundle();
-    let objects = whole.objects().values().map(|held| held.object.clone());
+    let base = bundle();
+    let objects = base.objects().values().map(|hashed| hashed.object.clone());
     let tenant = Tenant {
         name: "a".to_owned(),
         keys: vec![KEY.to_owned()],
@@ -39,15 +40,15 @@
     world.begin_with_headers("/safe/1", &[(NAMES.api_key, KEY)])
 }
 
-/// What the sidecar asks now.
-fn asked(world: &mut World) -> CreditRequest {
-    world.calls.quota.request(COORDINATOR, world.now).expect("it asks")
+/// The request that the sidecar sends to the coordinator now.
+fn credit_request(world: &mut World) -> CreditRequest {
+    world.calls.quota.request(COORDINATOR, world.now).expect("a credit request")
 }
 
-fn answer(world: &mut World, asked: &CreditRequest, granted: u16, ahead: u16, retry_ms: u16) {
+fn answer(world: &mut World, request: &CreditRequest, granted: u16, ahead: u16, retry_ms: u16) {
     let tenant = tenant_id("a");
     let grants = vec![CreditGrant { tenant, granted, ahead, retry_ms, pulling: false }];
-    let answer = CreditAnswer { asked_at: asked.asked_at, nodes: 10, grants };
+    let answer = CreditAnswer { asked_at: request.asked_at, nodes: 10, grants };
     world.calls.quota.answered(answer, world.now);
 }
 
@@ -60,13 +61,13 @@
     let mut world = world(5_000);
     assert!(call(&mut world).is_empty());
     assert_eq!(world.calls.in_flight(), 1);
-    let request = asked(&mut world);
+    let request = credit_request(&mut world);
     assert_eq!(request.asks.iter().map(|ask| ask.need).collect::<Vec<_>>(), [1]);
     world.now += 3;
     answer(&mut world, &request, 1, 0, 5);
     let settled = settle(&mut world);
     assert!(sent(&settled).is_some(), "{settled:?}");
-    // The wait is part of its time.
+    // The deadline is still in the future after the wait.
     assert!(hop(&settled).is_some_and(|hop| hop.deadline_ms > 0));
 }
 
@@ -74,13 +75,13 @@
 fn a_call_above_the_quota_gets_429_with_the_time_to_come_back_and_costs_no_hop() {
     let mut world = world(5_000);
     assert!(call(&mut world).is_empty());
-    let request = asked(&mut world);
+    let request = credit_request(&mut world);
     world.now += 3;
     answer(&mut world, &request, 0, 0, 740);
     let settled = settle(&mut world);
     assert_eq!(status(&settled), Some(429));
     assert_eq!(retry_after_ms(&settled), Some(740));
-    // The next ones are refused by the same word, at once and without a request.
+    // The next calls are refused immediately, without another request.
     let next = call(&mut world);
     assert_eq!(status(&next), Some(429));
     assert_eq!(world.calls.in_flight(), 0);
@@ -99,10 +100,10 @@
 fn nobody_answers_and_the_call_is_refused_as_not_run() {
     let mut world = world(5_000);
     assert!(call(&mut world).is_empty());
-    asked(&mut world);
+    credit_request(&mut world);
     world.now += quota::WAIT_MS;
     let settled = settle(&mut world);
-    // It is not known to be above its quota.
+    // 503 instead of 429, because the call is not known to be above the quota.
     assert_eq!(status(&settled), Some(503));
     assert_eq!(retry_after_ms(&settled), Some(500));
 }
@@ -130,13 +131,13 @@
 fn a_key_taken_away_while_its_call_waits_is_denied() {
     let mut world = world(5_000);
     assert!(call(&mut world).is_empty());
-    let request = asked(&mut world);
+    let request = credit_request(&mut world);
     answer(&mut world, &request, 1, 0, 5);
     let without = Bundle::from_objects(
         bundle_with(5_000)
             .objects()
             .values()
-            .map(|held| match held.object.clone() {
+            .map(|hashed| match hashed.object.clone() {
                 Object::Tenant(tenant) => Object::Tenant(Tenant { keys: Vec::new(), ..tenant }),
                 other => other,
             })
@@ -151,23 +152,23 @@
 fn a_call_that_no_upstream_took_gives_its_credit_back_and_a_repeat_is_told() {
     let mut world = world(5_000);
     assert!(call(&mut world).is_empty());
-    let request = asked(&mut world);
+    let request = credit_request(&mut world);
     answer(&mut world, &request, 1, 0, 5);
     let mut actions = settle(&mut world);
-    // All refuse it: it has run nowhere.
+    // All upstreams refuse the call, so it has not run.
     while let Some((attempt, _)) = sent(&actions) {
         actions = world.calls.ended(attempt, replied(HopOutcome::Refused, 503), world.now);
     }
     assert_eq!(status(&actions), Some(503));
-    // One that refused is not asked again for a moment.
+    // An upstream that refused a call is skipped for a moment.
     world.now += 300;
     let second = call(&mut world);
-    assert!(sent(&second).is_some(), "it has the credit of the first: {second:?}");
-    // Its answer is lost, and it is sent again without a credit.
+    assert!(sent(&second).is_some(), "it uses the credit of the first call: {second:?}");
+    // The attempt is lost, and the retry is sent without a credit.
     let (attempt, _) = sent(&second).expect("sent");
-    let again = world.calls.ended(attempt, sidecar::AttemptEnd::Lost, world.now);
-    assert!(sent(&again).is_some(), "{again:?}");
+    let retry = world.calls.ended(attempt, sidecar::AttemptEnd::Lost, world.now);
+    assert!(sent(&retry).is_some(), "{retry:?}");
     world.now += 200;
-    let request = asked(&mut world);
+    let request = credit_request(&mut world);
     assert_eq!(request.asks.iter().map(|ask| ask.debt).collect::<Vec<_>>(), [1]);
 }
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -1,5 +1,5 @@
-//! Keys of callers: which calls are denied, what upstreams are told, and what becomes of waiting
-//! calls when a key is taken away or moved.
+//! API keys of callers: which calls are denied, what is sent to upstreams, and what happens to
+//! waiting calls when a key is removed or moved to another tenant.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const KEY: &str = "first-key-of-a";
 const OTHER_KEY: &str = "second-key-of-a";
 const KEY_OF_B: &str = "key-of-b";
-const OPEN_PATH: &str = "/inner/1";
+const KEYLESS_PATH: &str = "/inner/1";
 
 fn tenant(name: &str, keys: &[&str], rank: Option<u32>) -> Object {
     Object::Tenant(Tenant {
@@ -31,10 +31,10 @@
     })
 }
 
-/// The routes of all tests, of which one needs no key, with these tenants.
+/// The routes of the common test bundle, with one made keyless, and the given tenants.
 fn bundle_of(tenants: Vec<Object>) -> Bundle {
-    let whole = bundle();
-    let objects = whole.objects().values().map(|held| held.object.clone());
+    let base = bundle();
+    let objects = base.objects().values().map(|hashed| hashed.object.clone());
     let keyless = |object| match object {
         Object::Route(route) if route.name == "inner" => {
             Object::Route(bundle::Route { keyless: true, ..route })
@@ -44,7 +44,7 @@
     Bundle::from_objects(objects.map(keyless).chain(tenants).collect())
 }
 
-fn usual() -> Bundle {
+fn default_bundle() -> Bundle {
     bundle_of(vec![
         tenant("a", &[KEY, OTHER_KEY], Some(1)),
         tenant("b", &[KEY_OF_B], Some(2)),
@@ -55,13 +55,13 @@
 impl World {
     fn with_tenants(upstreams: u8) -> Self {
         let mut world = World::with_upstreams(upstreams);
-        world.put(2, &usual());
+        world.apply(2, &default_bundle());
         world
     }
 
-    /// A generation is put in force here, and confirmed.
-    fn put(&mut self, generation: u64, wanted: &Bundle) {
-        assert!(self.config.apply(generation, &best_update(None, wanted)), "{generation}");
+    /// Applies a configuration generation and confirms it as the newest.
+    fn apply(&mut self, generation: u64, bundle: &Bundle) {
+        assert!(self.config.apply(generation, &best_update(None, bundle)), "{generation}");
         self.confirm(generation);
         self.calls.note_configuration(&self.config, self.now);
     }
@@ -78,19 +78,19 @@
     })
 }
 
-/// What is sent, in short.
-fn told(actions: &[CallAction]) -> String {
+/// Summarizes what is sent to the upstream, or the status of the answer.
+fn summary(actions: &[CallAction]) -> String {
     let Some(request) = request(actions) else {
         return status(actions).map_or("nothing".to_owned(), |status| status.to_string());
     };
-    let names: Vec<&[u8]> = request.headers.all(NAMES.tenant).collect();
-    let names: Vec<_> = names.into_iter().map(String::from_utf8_lossy).collect();
+    let tenants: Vec<&[u8]> = request.headers.all(NAMES.tenant).collect();
+    let tenants: Vec<_> = tenants.into_iter().map(String::from_utf8_lossy).collect();
     let key = if request.headers.get(NAMES.api_key).is_some() { " with a key" } else { "" };
     let rank = hop(actions).map_or(0, |hop| hop.rank);
-    format!("sent for {names:?} rank {}.{}{key}", rank >> 16, rank & 0xffff)
+    format!("sent for {tenants:?} rank {}.{}{key}", rank >> 16, rank & 0xffff)
 }
 
-/// What is tried, the path, and the fields sent with it.
+/// Name of the case, path, and headers of the call.
 type Row = (&'static str, &'static str, Vec<(&'static str, &'static str)>);
 
 #[test]
@@ -101,51 +101,51 @@
         ("no key", "/safe/1", vec![]),
         ("empty key", "/safe/1", vec![(key, "")]),
         ("unknown key", "/safe/1", vec![(key, "nobody's")]),
-        ("key in other case", "/safe/1", vec![(key, "First-Key-Of-A")]),
+        ("key in different case", "/safe/1", vec![(key, "First-Key-Of-A")]),
         ("part of a key", "/safe/1", vec![(key, "first-key-of")]),
-        ("two keys in one field", "/safe/1", vec![(key, "first-key-of-a,second-key-of-a")]),
+        ("two keys in one header", "/safe/1", vec![(key, "first-key-of-a,second-key-of-a")]),
         ("different keys of one tenant", "/safe/1", vec![(key, KEY), (key, OTHER_KEY)]),
-        ("a good key, then a wrong one", "/safe/1", vec![(key, KEY), (key, "x")]),
+        ("a valid key, then a wrong one", "/safe/1", vec![(key, KEY), (key, "x")]),
         ("name of a tenant as its key", "/safe/1", vec![(key, "a")]),
         ("no key, forged tenant", "/safe/1", vec![(NAMES.tenant, "a")]),
-        ("a key", "/safe/1", vec![(key, KEY)]),
-        ("a key once more", "/safe/1", twice.to_vec()),
-        ("blanks around a key", "/safe/1", vec![(key, " \tfirst-key-of-a ")]),
-        ("field name in other case", "/unsafe/1", vec![("X-KEY", OTHER_KEY)]),
+        ("valid key", "/safe/1", vec![(key, KEY)]),
+        ("the same key twice", "/safe/1", twice.to_vec()),
+        ("whitespace around a key", "/safe/1", vec![(key, " \tfirst-key-of-a ")]),
+        ("header name in different case", "/unsafe/1", vec![("X-KEY", OTHER_KEY)]),
         ("a key of another tenant", "/unsafe/1", vec![(key, KEY_OF_B)]),
         ("forged tenant", "/safe/1", vec![("X-Tenant", "b"), (key, KEY), (NAMES.tenant, "b")]),
-        ("keyless, no key", OPEN_PATH, vec![]),
-        ("keyless, forged tenant", OPEN_PATH, vec![(NAMES.tenant, "a")]),
-        ("keyless, a key", OPEN_PATH, vec![(key, KEY_OF_B), (NAMES.tenant, "a")]),
-        ("keyless, unknown key", OPEN_PATH, vec![(key, "nobody's")]),
+        ("keyless, no key", KEYLESS_PATH, vec![]),
+        ("keyless, forged tenant", KEYLESS_PATH, vec![(NAMES.tenant, "a")]),
+        ("keyless, valid key", KEYLESS_PATH, vec![(key, KEY_OF_B), (NAMES.tenant, "a")]),
+        ("keyless, unknown key", KEYLESS_PATH, vec![(key, "nobody's")]),
         ("no route", "/nowhere/", vec![(key, KEY)]),
         ("no route, no key", "/nowhere/", vec![]),
     ];
     let mut text = String::new();
     for (name, path, headers) in rows {
         let actions = World::with_tenants(1).begin_with_headers(path, &headers);
-        writeln!(text, "{name}: {}", told(&actions)).expect("text grows");
+        writeln!(text, "{name}: {}", summary(&actions)).expect("text grows");
     }
     expect![[r#"
         no key: 401
         empty key: 401
         unknown key: 401
-        key in other case: 401
+        key in different case: 401
         part of a key: 401
-        two keys in one field: 401
+        two keys in one header: 401
         different keys of one tenant: 401
-        a good key, then a wrong one: 401
+        a valid key, then a wrong one: 401
         name of a tenant as its key: 401
         no key, forged tenant: 401
-        a key: sent for ["a"] rank 1.1
-        a key once more: sent for ["a"] rank 1.1
-        blanks around a key: sent for ["a"] rank 1.1
-        field name in other case: sent for ["a"] rank 1.1
+        valid key: sent for ["a"] rank 1.1
+        the same key twice: sent for ["a"] rank 1.1
+        whitespace around a key: sent for ["a"] rank 1.1
+        header name in different case: sent for ["a"] rank 1.1
         a key of another tenant: sent for ["b"] rank 2.1
         forged tenant: sent for ["a"] rank 1.1
         keyless, no key: sent for [] rank 0.1
         keyless, forged tenant: sent for [] rank 0.1
-        keyless, a key: sent for ["b"] rank 2.1
+        keyless, valid key: sent for ["b"] rank 2.1
         keyless, unknown key: 401
         no route: 404
         no route, no key: 404
@@ -166,7 +166,7 @@
 #[test]
 fn calls_of_a_run_need_no_key_on_keyless_routes_and_carry_no_tenant() {
     let mut world = World::with_tenants(1);
-    let rows = [(OPEN_PATH, "sent for [] rank 0.1"), ("/safe/1", "401")];
+    let rows = [(KEYLESS_PATH, "sent for [] rank 0.1"), ("/safe/1", "401")];
     for (slot, (path, expected)) in (100..).zip(rows) {
         let mut headers = Headers::default();
         headers.push("Host", HOST);
@@ -178,7 +178,7 @@
         let (config, now) = (&world.config, world.now);
         let initiator = sidecar::Initiator::LocalRun;
         let actions = world.calls.begin_from(initiator, origin, request, config, now);
-        assert_eq!(told(&actions), expected, "{path}");
+        assert_eq!(summary(&actions), expected, "{path}");
     }
 }
 
@@ -200,7 +200,7 @@
         assert_eq!(begin([KEY.as_bytes(), &[byte, b'x']].concat()), Some(401), "{byte}");
     }
     assert_eq!(begin(vec![b'k'; 64 * 1024]), Some(401));
-    assert_eq!(world.calls.in_flight(), 0, "nothing is kept of them");
+    assert_eq!(world.calls.in_flight(), 0, "no denied call is kept");
     assert_eq!(world.calls.counts.denied, 2 * 256 + 1);
 }
 
@@ -208,15 +208,15 @@
 fn a_key_is_denied_only_while_the_configuration_is_known_to_be_the_newest() {
     let mut world = World::with_tenants(1);
     assert_eq!(status(&world.begin_with_key("/safe/1", "nobody's")), Some(401));
-    // A newer generation may hold it.
+    // A newer generation exists, which may contain the key.
     world.confirm(3);
     let actions = world.begin_with_key("/safe/1", "nobody's");
     assert_eq!(status(&actions), Some(503));
     assert!(retry_after_ms(&actions).is_some());
-    assert!(sent(&world.begin_with_key("/safe/1", KEY)).is_some(), "a known key goes on");
-    world.put(3, &bundle_of(vec![tenant("a", &["nobody's"], None)]));
+    assert!(sent(&world.begin_with_key("/safe/1", KEY)).is_some(), "a known key is still accepted");
+    world.apply(3, &bundle_of(vec![tenant("a", &["nobody's"], None)]));
     assert!(sent(&world.begin_with_key("/safe/1", "nobody's")).is_some());
-    // Nobody said lately that this is the newest.
+    // The generation has not been confirmed as the newest for a minute.
     world.now += 60_000;
     assert_eq!(status(&world.begin_with_key("/safe/1", KEY)), Some(503));
     assert_eq!(world.calls.counts.denied, 1);
@@ -227,7 +227,7 @@
     let mut world = World::with_upstreams(1);
     for headers in [vec![], vec![(NAMES.api_key, KEY), (NAMES.tenant, "a")]] {
         let actions = world.begin_with_headers("/safe/1", &headers);
-        assert_eq!(told(&actions), "sent for [] rank 0.1");
+        assert_eq!(summary(&actions), "sent for [] rank 0.1");
     }
 }
 
@@ -244,23 +244,24 @@
     ];
     let ranks = rows.map(|(tenant, route)| combined_rank(tenant, route));
     assert!(ranks.is_sorted(), "{ranks:?}");
-    assert_eq!(combined_rank(None, 7), 7, "nothing changes without tenants");
+    assert_eq!(combined_rank(None, 7), 7, "without a tenant, the rank is that of the route");
     assert_eq!(combined_rank(Some(0), 7), combined_rank(None, 7));
 }
 
-/// A call under way, and what becomes of it when its first try ends after a new configuration.
+/// What follows when the first attempt of a call ends after a new configuration was applied.
 fn after_change(path: &str, key: &str, changed: &Bundle, end: AttemptEnd) -> String {
     let mut world = World::with_tenants(3);
     let (attempt, _) = sent(&world.begin_with_key(path, key)).expect("placed");
-    world.put(3, changed);
-    told(&world.calls.ended(attempt, end, world.now))
+    world.apply(3, changed);
+    summary(&world.calls.ended(attempt, end, world.now))
 }
 
 #[test]
 fn a_key_taken_away_or_moved_holds_between_tries() {
-    let gone = bundle_of(vec![tenant("a", &[OTHER_KEY], Some(1)), tenant("b", &[KEY_OF_B], None)]);
+    let removed =
+        bundle_of(vec![tenant("a", &[OTHER_KEY], Some(1)), tenant("b", &[KEY_OF_B], None)]);
     let moved = bundle_of(vec![tenant("a", &[], Some(1)), tenant("b", &[KEY], Some(9))]);
-    let kept = bundle_of(vec![tenant("a", &[KEY], Some(5))]);
+    let same_key = bundle_of(vec![tenant("a", &[KEY], Some(5))]);
     type End = fn() -> AttemptEnd;
     let ends: [(&str, End); 6] = [
         ("not sent", || AttemptEnd::NotSent),
@@ -271,27 +272,27 @@
         ("answered", || replied(HopOutcome::Answered, 200)),
     ];
     let mut text = String::new();
-    for (change, changed) in [("gone", &gone), ("moved", &moved), ("kept", &kept)] {
+    for (change, changed) in [("removed", &removed), ("moved", &moved), ("same key", &same_key)] {
         for (end, ended) in ends {
             for path in ["/safe/1", "/unsafe/1"] {
-                let told = after_change(path, KEY, changed, ended());
-                writeln!(text, "{change}, {end}, {path}: {told}").expect("text grows");
+                let summary = after_change(path, KEY, changed, ended());
+                writeln!(text, "{change}, {end}, {path}: {summary}").expect("text grows");
             }
         }
     }
     expect![[r#"
-        gone, not sent, /safe/1: 401
-        gone, not sent, /unsafe/1: 401
-        gone, refused, /safe/1: 401
-        gone, refused, /unsafe/1: 401
-        gone, rejected, /safe/1: 401
-        gone, rejected, /unsafe/1: 401
-        gone, lost, /safe/1: 502
-        gone, lost, /unsafe/1: 502
-        gone, failed, /safe/1: 500
-        gone, failed, /unsafe/1: 500
-        gone, answered, /safe/1: 200
-        gone, answered, /unsafe/1: 200
+        removed, not sent, /safe/1: 401
+        removed, not sent, /unsafe/1: 401
+        removed, refused, /safe/1: 401
+        removed, refused, /unsafe/1: 401
+        removed, rejected, /safe/1: 401
+        removed, rejected, /unsafe/1: 401
+        removed, lost, /safe/1: 502
+        removed, lost, /unsafe/1: 502
+        removed, failed, /safe/1: 500
+        removed, failed, /unsafe/1: 500
+        removed, answered, /safe/1: 200
+        removed, answered, /unsafe/1: 200
         moved, not sent, /safe/1: sent for ["b"] rank 9.1
         moved, not sent, /unsafe/1: sent for ["b"] rank 9.1
         moved, refused, /safe/1: sent for ["b"] rank 9.1
@@ -304,44 +305,47 @@
         moved, failed, /unsafe/1: 500
         moved, answered, /safe/1: 200
         moved, answered, /unsafe/1: 200
-        kept, not sent, /safe/1: sent for ["a"] rank 5.1
-        kept, not sent, /unsafe/1: sent for ["a"] rank 5.1
-        kept, refused, /safe/1: sent for ["a"] rank 5.1
-        kept, refused, /unsafe/1: sent for ["a"] rank 5.1
-        kept, rejected, /safe/1: sent for ["a"] rank 5.1
-        kept, rejected, /unsafe/1: sent for ["a"] rank 5.1
-        kept, lost, /safe/1: sent for ["a"] rank 5.1
-        kept, lost, /unsafe/1: 502
-        kept, failed, /safe/1: sent for ["a"] rank 5.1
-        kept, failed, /unsafe/1: 500
-        kept, answered, /safe/1: 200
-        kept, answered, /unsafe/1: 200
+        same key, not sent, /safe/1: sent for ["a"] rank 5.1
+        same key, not sent, /unsafe/1: sent for ["a"] rank 5.1
+        same key, refused, /safe/1: sent for ["a"] rank 5.1
+        same key, refused, /unsafe/1: sent for ["a"] rank 5.1
+        same key, rejected, /safe/1: sent for ["a"] rank 5.1
+        same key, rejected, /unsafe/1: sent for ["a"] rank 5.1
+        same key, lost, /safe/1: sent for ["a"] rank 5.1
+        same key, lost, /unsafe/1: 502
+        same key, failed, /safe/1: sent for ["a"] rank 5.1
+        same key, failed, /unsafe/1: 500
+        same key, answered, /safe/1: 200
+        same key, answered, /unsafe/1: 200
     "#]]
     .assert_eq(&text);
 }
 
 #[test]
 fn a_key_that_comes_back_or_moves_back_is_as_if_nothing_was() {
-    let gone = bundle_of(vec![tenant("a", &[], None)]);
+    let removed = bundle_of(vec![tenant("a", &[], None)]);
     let mut world = World::with_tenants(3);
     let (attempt, _) = sent(&world.begin_with_key("/unsafe/1", KEY)).expect("placed");
-    world.put(3, &gone);
-    world.put(4, &usual());
+    world.apply(3, &removed);
+    world.apply(4, &default_bundle());
     let actions = world.calls.ended(attempt, AttemptEnd::NotSent, world.now);
-    assert_eq!(told(&actions), r#"sent for ["a"] rank 1.1"#);
+    assert_eq!(summary(&actions), r#"sent for ["a"] rank 1.1"#);
 }
 
 #[test]
 fn a_parked_call_is_not_placed_after_its_key_is_taken_away() {
-    let gone = bundle_of(vec![tenant("b", &[KEY_OF_B], None)]);
+    let removed = bundle_of(vec![tenant("b", &[KEY_OF_B], None)]);
     let moved = bundle_of(vec![tenant("b", &[KEY], None)]);
-    let rows = [(gone, "401"), (moved, r#"sent for ["b"] rank 0.1"#)];
+    let rows = [(removed, "401"), (moved, r#"sent for ["b"] rank 0.1"#)];
     for (changed, expected) in rows {
         let mut world = World::with_tenants(0);
-        assert!(world.begin_with_key("/safe/1", KEY).is_empty(), "no upstream: it is parked");
-        world.put(3, &changed);
+        assert!(
+            world.begin_with_key("/safe/1", KEY).is_empty(),
+            "parked, because there is no upstream"
+        );
+        world.apply(3, &changed);
         world.add_upstream(1);
-        assert_eq!(told(&world.calls.tick(world.now + 20)), expected);
+        assert_eq!(summary(&world.calls.tick(world.now + 20)), expected);
     }
 }
 
@@ -350,8 +354,8 @@
     let mut world = World::with_tenants(0);
     assert!(world.begin_with_key("/safe/1", KEY).is_empty(), "parked");
     world.confirm(4);
-    let gone = bundle_of(vec![tenant("a", &[], None)]);
-    assert!(world.config.apply(3, &best_update(None, &gone)));
+    let removed = bundle_of(vec![tenant("a", &[], None)]);
+    assert!(world.config.apply(3, &best_update(None, &removed)));
     world.calls.note_configuration(&world.config, world.now);
     let actions = world.calls.tick(world.now + 20);
     assert_eq!(status(&actions), Some(503));
@@ -391,11 +395,11 @@
 #[test]
 fn nothing_shows_a_key() {
     let world = World::with_tenants(1);
-    let usual = usual();
+    let default = default_bundle();
     let id = ObjectId { kind: ObjectKind::Tenant, name: "a".to_owned() };
-    let object = &usual.objects()[&id].object;
+    let object = &default.objects()[&id].object;
     let texts =
-        [format!("{object:?}"), format!("{:?}", world.config.tenants()), format!("{usual:?}")];
+        [format!("{object:?}"), format!("{:?}", world.config.tenants()), format!("{default:?}")];
     for text in texts {
         assert!(!text.contains(KEY) && !text.contains(OTHER_KEY), "{text}");
     }
@@ -430,10 +434,10 @@
         let (first, second) = (key(number, 0), key(number, 1));
         tenant(&name(number), &[&first, &second], None)
     });
-    let whole = bundle_of(tenants.collect());
-    assert_eq!(whole.check(), Vec::new());
+    let large = bundle_of(tenants.collect());
+    assert_eq!(large.check(), Vec::new());
     let mut world = World::with_upstreams(1);
-    world.put(2, &whole);
+    world.apply(2, &large);
     for number in (0..10_000).step_by(97) {
         for position in 0..2 {
             let actions = world.begin_with_key("/safe/1", &key(number, position));
@@ -450,28 +454,28 @@
 fn a_change_keeps_what_it_does_not_concern() {
     let mut world = World::with_tenants(1);
     let steps = [
-        ("a route went", vec![("a", KEY), ("b", KEY_OF_B)]),
-        ("keys exchanged", vec![("a", KEY_OF_B), ("b", KEY)]),
-        ("one gone", vec![("b", KEY)]),
-        ("one new", vec![("b", KEY), ("d", KEY_OF_B)]),
-        ("back", vec![("a", KEY), ("b", KEY_OF_B)]),
+        ("a tenant removed", vec![("a", KEY), ("b", KEY_OF_B)]),
+        ("keys swapped", vec![("a", KEY_OF_B), ("b", KEY)]),
+        ("another removed", vec![("b", KEY)]),
+        ("one added", vec![("b", KEY), ("d", KEY_OF_B)]),
+        ("restored", vec![("a", KEY), ("b", KEY_OF_B)]),
     ];
-    let mut held = usual();
+    let mut current = default_bundle();
     for ((step, wanted), generation) in steps.into_iter().zip(3..) {
         let next = bundle_of(wanted.iter().map(|(name, key)| tenant(name, &[key], None)).collect());
-        assert!(world.config.apply(generation, &best_update(Some(&held), &next)), "{step}");
-        held = next;
+        assert!(world.config.apply(generation, &best_update(Some(&current), &next)), "{step}");
+        current = next;
         world.confirm(generation);
         for (name, key) in &wanted {
             let actions = world.begin_with_key("/safe/1", key);
-            assert_eq!(told(&actions), format!("sent for {:?} rank 0.1", [name]), "{step}");
+            assert_eq!(summary(&actions), format!("sent for {:?} rank 0.1", [name]), "{step}");
         }
         assert_eq!(status(&world.begin_with_key("/safe/1", OTHER_KEY)), Some(401), "{step}");
         assert_eq!(world.config.tenants().iter().count(), wanted.len(), "{step}");
     }
 }
 
-/// The tenant of each call as it is given to an upstream of two slots, one after the other.
+/// The tenants of calls in the order in which they are given to an upstream with two slots.
 fn order_at_the_upstream(arrivals: &[&str]) -> Vec<String> {
     let metrics = JobMetrics::new(&telemetry::Registry::default());
     let mut jobs = Jobs::new(NAMES, SERVICE, 2_000, None, LogSample::new(1), metrics);
@@ -500,19 +504,19 @@
         let source = Source::Peer { connection: world.connection(), slot };
         actions.extend(jobs.begin(source, request, &hop, 0));
     }
-    let mut given = Vec::new();
-    while let Some(place) =
+    let mut order = Vec::new();
+    while let Some(position) =
         actions.iter().position(|action| matches!(action, JobAction::Run { .. }))
     {
-        let JobAction::Run { job, request } = actions.remove(place) else {
-            unreachable!("looked for");
+        let JobAction::Run { job, request } = actions.remove(position) else {
+            unreachable!("found at this position");
         };
-        given.push(request.headers.text(NAMES.tenant).unwrap_or("-").to_owned());
+        order.push(request.headers.text(NAMES.tenant).unwrap_or("-").to_owned());
         let response = http1::Response::empty(200).with_header(NAMES.seal, "s");
         let answer = http1::Answer { response, reusable: true };
         actions.extend(jobs.ended(job, sidecar::UpstreamEnd::Answered(answer), 1));
     }
-    given
+    order
 }
 
 #[test]
