--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -92,8 +92,10 @@
         if self.is_retired(&incarnation) {
             return false;
         }
-        let known =
-            self.current.as_ref().is_some_and(|current| current.incarnation.may_equal(&incarnation));
+        let known = self
+            .current
+            .as_ref()
+            .is_some_and(|current| current.incarnation.may_equal(&incarnation));
         if !known {
             if self.is_stale(record) {
                 return false;
@@ -200,7 +202,9 @@
 
     fn replace(&mut self, record: &InstanceRecord, sequence: u64, now: Millis) {
         let incarnation = record.incarnation();
-        if let Some(crashed) = self.crashed.take().filter(|crashed| !crashed.may_equal(&incarnation)) {
+        if let Some(crashed) =
+            self.crashed.take().filter(|crashed| !crashed.may_equal(&incarnation))
+        {
             self.add_retired(crashed);
         }
         if let Some(replaced) = self.current.take() {
--- a/crates/sidecar/src/calls/hedge.rs
+++ b/crates/sidecar/src/calls/hedge.rs
@@ -81,8 +81,10 @@
         call.hedge_at = None;
         let first = call.current?;
         let (service, asked_by) = (call.service.clone(), call.asked_by());
-        let has_room =
-            self.view.free_slot_fraction(&service, now).is_some_and(|free| free >= HEDGE_MIN_FREE_FRACTION);
+        let has_room = self
+            .view
+            .free_slot_fraction(&service, now)
+            .is_some_and(|free| free >= HEDGE_MIN_FREE_FRACTION);
         if !has_room || !self.budget.allows_hedge(&service, asked_by, self.view.nodes(), now) {
             return None;
         }
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -477,7 +477,9 @@
     /// Whether the upstreams of a service report enough free slots. Their load reports say more
     /// about the service than the outcomes of the few calls sent from this node.
     fn has_room(&self, service: &str, now: Millis) -> bool {
-        self.view.free_slot_fraction(service, now).is_some_and(|free| free >= MIN_FREE_SLOT_FRACTION)
+        self.view
+            .free_slot_fraction(service, now)
+            .is_some_and(|free| free >= MIN_FREE_SLOT_FRACTION)
     }
 
     /// Records the outcome and duration of a call in the metrics.
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -348,7 +348,8 @@
     let answer = Answer { response: sealed(200), reusable: true };
     jobs.ended(first, UpstreamEnd::Answered(answer), 10);
     assert_eq!(
-        jobs.initiator("7.ab"), Initiator::LocalRun,
+        jobs.initiator("7.ab"),
+        Initiator::LocalRun,
         "another job with that id is still running"
     );
     jobs.connection_ended(ConnectionId::for_tests(1), 20);
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -373,8 +373,9 @@
                     let from_sidecar = matches!(frame.from, Node::Sidecar(_));
                     for notice in frame.notices {
                         let (age_ms, news) = (notice.age_ms, notice.event.clone());
-                        let taken =
-                            self.boards[coordinator].apply(notice, from_sidecar, self.now).is_some();
+                        let taken = self.boards[coordinator]
+                            .apply(notice, from_sidecar, self.now)
+                            .is_some();
                         let at_ms = self.now;
                         info!(at_ms, coordinator, from = ?frame.from, age_ms, ?news, taken, "told");
                     }
