--- a/crates/canary/src/evidence.rs
+++ b/crates/canary/src/evidence.rs
@@ -63,7 +63,7 @@
 
     /// Takes in what one life of a sidecar told. What is of another canary, or older than what is
     /// held, changes nothing.
-    pub fn told(&mut self, from: NodeAddress, life: u64, told: &VersionEvidence) {
+    pub fn record(&mut self, from: NodeAddress, life: u64, told: &VersionEvidence) {
         if told.run != self.run {
             return;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Remembers what is held now, so that the recent past can be told from what was before.
-    pub fn mark(&mut self, now: Millis) {
+    pub fn take_snapshot(&mut self, now: Millis) {
         self.marks.push_back(Mark { at: now, sums: self.sums.clone() });
         while self.marks.get(1).is_some_and(|second| second.at + WINDOW_MS <= now) {
             self.marks.pop_front();
--- a/crates/canary/tests/judge.rs
+++ b/crates/canary/tests/judge.rs
@@ -42,7 +42,7 @@
             classes: classes.iter().map(of_class).collect(),
         };
         let ip = Ipv4Addr::new(10, 0, network, host as u8);
-        evidence.told(NodeAddress { ip, port: 8_300 }, 1, &told);
+        evidence.record(NodeAddress { ip, port: 8_300 }, 1, &told);
     }
 }
 
--- a/crates/canary/tests/model.rs
+++ b/crates/canary/tests/model.rs
@@ -213,10 +213,10 @@
         on_the_way.push(world.told());
         if on_the_way.len() > DELAY_STEPS {
             for (host, told) in on_the_way.remove(0).iter().enumerate() {
-                evidence.told(address(host), 1, told);
+                evidence.record(address(host), 1, told);
             }
         }
-        evidence.mark(now);
+        evidence.take_snapshot(now);
         let verdict = judge(&evidence);
         let facts = Facts {
             phase,
--- a/crates/coordinator/src/canaries.rs
+++ b/crates/coordinator/src/canaries.rs
@@ -119,7 +119,7 @@
             state.evidence.insert(service.to_owned(), evidence);
         }
         if let Some(evidence) = state.evidence.get_mut(service) {
-            evidence.mark(now);
+            evidence.take_snapshot(now);
         }
     }
 
--- a/crates/coordinator/src/link.rs
+++ b/crates/coordinator/src/link.rs
@@ -169,7 +169,7 @@
             ToCoordinator::Evidence(report) => {
                 self.group.forward_evidence(node, link.boot_id, &report);
                 if let Some(evidence) = self.hub.lock().evidence.get_mut(&report.service) {
-                    evidence.told(node, link.boot_id, &report);
+                    evidence.record(node, link.boot_id, &report);
                 }
             }
             ToCoordinator::Poison { notices } => {
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -121,7 +121,7 @@
                 CoordinatorFrame::Removed { member } => info!(%peer, member, "removed_from_group"),
                 CoordinatorFrame::Evidence { node, boot_id, evidence: report } => {
                     if let Some(evidence) = self.hub.lock().evidence.get_mut(&report.service) {
-                        evidence.told(node, boot_id, &report);
+                        evidence.record(node, boot_id, &report);
                     }
                 }
                 frame @ (CoordinatorFrame::ListHeartbeat { .. }
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -6,7 +6,7 @@
 use mesh::{
     CoordinatorFrame, CreditAmount, CreditAnswer, CreditRequest, MemberId, NodeAddress, TenantId,
 };
-use quota::{tenant_id, Answered, Limit, Pools, TenantUse};
+use quota::{tenant_id, Limit, PoolResponse, Pools, TenantUsage};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use telemetry::Clock;
@@ -55,7 +55,7 @@
     /// Answers a credit request of a sidecar, and requests missing credits from other coordinators.
     pub fn request(&self, node: NodeAddress, request: CreditRequest) -> CreditAnswer {
         let now = self.clock.now_ms();
-        let Answered { answer, pulls } = self.lock().pools.request(node, request, now);
+        let PoolResponse { answer, pulls } = self.lock().pools.request(node, request, now);
         let member = self.group.own.0;
         for (peer, missing) in pulls {
             let frame = CoordinatorFrame::CreditPull { member, lacks: missing };
@@ -90,7 +90,7 @@
         let peers: Vec<u64> = peers.iter().map(|peer| peer.0).collect();
         let mut state = self.lock();
         state.pools.tick(listed.into_iter(), &peers, now);
-        let (part, lenders) = (state.pools.part(), state.pools.fleet.lenders());
+        let (part, lenders) = (state.pools.share(), state.pools.fleet.lenders());
         let nodes = state.pools.fleet.nodes();
         if (part - state.logged_share).abs() > MIN_LOGGED_SHARE_CHANGE {
             state.logged_share = part;
@@ -124,11 +124,12 @@
     /// first.
     pub fn log_refusals(&self) {
         let mut state = self.lock();
-        let usages: Vec<TenantUse> = state.pools.uses().collect();
+        let usages: Vec<TenantUsage> = state.pools.usages().collect();
         let refused_before =
-            |usage: &TenantUse| state.logged_refusals.get(&usage.tenant).copied().unwrap_or(0);
-        let refused_since = |usage: &TenantUse| usage.refused.saturating_sub(refused_before(usage));
-        let mut refusals: Vec<(u64, &TenantUse)> = usages
+            |usage: &TenantUsage| state.logged_refusals.get(&usage.tenant).copied().unwrap_or(0);
+        let refused_since =
+            |usage: &TenantUsage| usage.refused.saturating_sub(refused_before(usage));
+        let mut refusals: Vec<(u64, &TenantUsage)> = usages
             .iter()
             .map(|usage| (refused_since(usage), usage))
             .filter(|(lacking, _)| *lacking > 0)
--- a/crates/quota/examples/cost.rs
+++ b/crates/quota/examples/cost.rs
@@ -38,17 +38,17 @@
     println!("look at a coordinator: {:.0} us", started.elapsed().as_micros() as f64 / 100.0);
 
     let mut gate: Gate<u64> = Gate::new(1);
-    gate.set_bounded(true);
+    gate.set_any_limit(true);
     gate.set_linked(true);
     let started = Instant::now();
     let mut on = 0;
     for round in 0..ROUNDS {
         let now = 10 + round * 6;
         let tenant = TenantId(round * 7 % AT_A_SIDECAR);
-        on += usize::from(gate.enter(tenant, limit, round, now).is_some());
+        on += usize::from(gate.admit(tenant, limit, round, now).is_some());
         if let Some(request) = gate.request(1, now) {
             let answer = pools.request(address(1), request, now).answer;
-            gate.answered(answer, now);
+            gate.handle_answer(answer, now);
         }
         on += gate.settle(now).len();
     }
--- a/crates/quota/src/fleet.rs
+++ b/crates/quota/src/fleet.rs
@@ -40,7 +40,7 @@
     }
 
     /// A sidecar lends its part, or takes it back.
-    pub fn lent(&mut self, node: NodeAddress, lends: bool, now: Millis) {
+    pub fn update_loan(&mut self, node: NodeAddress, lends: bool, now: Millis) {
         match lends {
             true => self.lent.insert(node, now),
             false => self.lent.remove(&node),
@@ -56,7 +56,7 @@
 
     /// Takes in the sidecars that all coordinators list, with whether each is stopping, and the
     /// other coordinators.
-    pub fn note_listed(
+    pub fn update_listed(
         &mut self,
         nodes: impl Iterator<Item = (NodeAddress, bool)>,
         peers: impl Iterator<Item = u64>,
@@ -83,7 +83,7 @@
     }
 
     /// Part of all quotas that is with this coordinator, 0 to 1.
-    pub fn part(&self, now: Millis) -> f64 {
+    pub fn share(&self, now: Millis) -> f64 {
         let lent = self.lent.values().filter(|at| now < **at + LOAN_MS).count();
         let part = lent as f64 / self.nodes().max(1) as f64;
         match self.knows_all(now) {
@@ -100,7 +100,7 @@
 
     /// Sidecars among which quotas are divided, for sidecars that may count on nobody else soon;
     /// 0 while some may be missing here.
-    pub fn nodes_told(&self, now: Millis) -> u32 {
+    pub fn reported_nodes(&self, now: Millis) -> u32 {
         match self.knows_all(now) {
             true => self.nodes() as u32,
             false => 0,
--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -264,7 +264,7 @@
 
     /// Takes in a call of a tenant. It is given back with what becomes of it, or kept until
     /// [`Self::settle`] does so.
-    pub fn enter(
+    pub fn admit(
         &mut self,
         tenant: TenantId,
         limit: Limit,
@@ -277,7 +277,7 @@
             }
             return Some((item, Outcome::Admitted));
         }
-        let (alone, wait_ms) = (self.is_alone(now), self.wait_ms());
+        let (alone, wait_ms) = (self.is_standalone(now), self.wait_ms());
         let account = self.accounts.entry(tenant).or_insert_with(|| Account::new(limit, now));
         account.set_limit(limit);
         account.note_call(now);
@@ -348,7 +348,7 @@
     }
 
     /// Takes in whether any tenant has a limit: without one, coordinators are told nothing.
-    pub fn set_bounded(&mut self, bounded: bool) {
+    pub fn set_any_limit(&mut self, bounded: bool) {
         self.bounded = bounded;
     }
 
@@ -358,7 +358,7 @@
     }
 
     /// Whether this sidecar's part is its own: no coordinator may count it any more.
-    pub fn is_alone(&self, now: Millis) -> bool {
+    pub fn is_standalone(&self, now: Millis) -> bool {
         !self.linked && now >= self.lent_until
     }
 
@@ -423,7 +423,7 @@
     }
 
     /// Takes in an answer.
-    pub fn answered(&mut self, answer: CreditAnswer, now: Millis) {
+    pub fn handle_answer(&mut self, answer: CreditAnswer, now: Millis) {
         let CreditAnswer { asked_at, nodes, grants } = answer;
         let took_ms = now.saturating_sub(asked_at) as f64;
         self.answer_ms += (took_ms - self.answer_ms) * ANSWER_WEIGHT;
@@ -444,7 +444,7 @@
 
     /// Gives back the calls that need not wait any more.
     pub fn settle(&mut self, now: Millis) -> Vec<(T, Outcome)> {
-        let alone = self.is_alone(now);
+        let alone = self.is_standalone(now);
         let own = Alone { nodes: self.nodes, since: self.lent_until };
         let Gate { accounts, busy, waiting, random, counts, .. } = self;
         let mut settled = Vec::new();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -18,7 +18,7 @@
 pub use fleet::Fleet;
 pub use gate::{Gate, GateCounts, Outcome, Refusal, REQUEST_INTERVAL_MS, WAIT_MS};
 pub use limit::{tenant_id, Limit, WINDOW_MS};
-pub use pools::{Answered, Pools, TenantUse};
+pub use pools::{PoolResponse, Pools, TenantUsage};
 
 /// Milliseconds of a clock that goes on while the machine sleeps and is never set.
 pub type Millis = u64;
--- a/crates/quota/src/pools.rs
+++ b/crates/quota/src/pools.rs
@@ -58,7 +58,7 @@
 
 /// What one tenant used of late here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TenantUse {
+pub struct TenantUsage {
     /// Which.
     pub tenant: TenantId,
     /// Credits given since the pool was made.
@@ -73,7 +73,7 @@
 
 /// What an event at the pools leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct PoolResponse {
     /// To the sidecar.
     pub answer: CreditAnswer,
     /// What to ask of other coordinators.
@@ -134,9 +134,9 @@
         peers: &[u64],
         now: Millis,
     ) {
-        self.fleet.note_listed(nodes, peers.iter().copied(), now);
+        self.fleet.update_listed(nodes, peers.iter().copied(), now);
         self.peers = peers.to_vec();
-        self.part.set(self.fleet.part(now), now);
+        self.part.set(self.fleet.share(now), now);
         self.resting.retain(|_, until| now < *until);
         let Pools { pools, known, part, .. } = self;
         pools.retain(|tenant, pool| {
@@ -146,8 +146,13 @@
     }
 
     /// Answers a sidecar.
-    pub fn request(&mut self, node: NodeAddress, request: CreditRequest, now: Millis) -> Answered {
-        self.fleet.lent(node, request.lends, now);
+    pub fn request(
+        &mut self,
+        node: NodeAddress,
+        request: CreditRequest,
+        now: Millis,
+    ) -> PoolResponse {
+        self.fleet.update_loan(node, request.lends, now);
         let mut wanted = Vec::new();
         let mut grants = Vec::new();
         for ask in request.asks {
@@ -160,9 +165,9 @@
             }
             grants.push(grant);
         }
-        let nodes = self.fleet.nodes_told(now);
+        let nodes = self.fleet.reported_nodes(now);
         let answer = CreditAnswer { asked_at: request.asked_at, nodes, grants };
-        Answered { answer, pulls: by_peer(wanted) }
+        PoolResponse { answer, pulls: by_peer(wanted) }
     }
 
     fn grant(&mut self, node: NodeAddress, ask: CreditAsk, now: Millis) -> CreditGrant {
@@ -232,13 +237,13 @@
     }
 
     /// Part of all quotas that is here, 0 to 1.
-    pub fn part(&self) -> f64 {
+    pub fn share(&self) -> f64 {
         self.part.now
     }
 
     /// What the tenants with a pool use.
-    pub fn uses(&self) -> impl Iterator<Item = TenantUse> + '_ {
-        self.pools.iter().map(|(tenant, pool)| TenantUse {
+    pub fn usages(&self) -> impl Iterator<Item = TenantUsage> + '_ {
+        self.pools.iter().map(|(tenant, pool)| TenantUsage {
             tenant: *tenant,
             granted: pool.granted,
             refused: pool.refused,
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -192,7 +192,7 @@
 
     fn new_gate(&mut self) -> Gate<Waiting> {
         let mut gate = Gate::new(self.random.u64(..));
-        gate.set_bounded(true);
+        gate.set_any_limit(true);
         gate
     }
 
@@ -296,7 +296,7 @@
         self.seen[tenant].asked.push(now);
         let limit = self.sidecar_limits[tenant];
         let waiting = Waiting { tenant, since: now };
-        let settled = self.sidecars[node].gate.enter(id(tenant), limit, waiting, now);
+        let settled = self.sidecars[node].gate.admit(id(tenant), limit, waiting, now);
         self.note(settled);
         self.pump(node);
     }
@@ -368,7 +368,7 @@
         if let Message::Answer(node, answer) = message {
             let sidecar = &mut self.sidecars[node];
             if sidecar.up && sidecar.lives == to as u64 {
-                sidecar.gate.answered(answer, now);
+                sidecar.gate.handle_answer(answer, now);
                 self.pump(node);
             }
             return;
@@ -451,7 +451,7 @@
         let peers: Vec<u64> = (0..ZONES as u64).filter(|peer| *peer != own as u64).collect();
         let nodes = listed.keys().map(|node| (address(*node), false));
         coordinator.pools.tick(nodes, &peers, now);
-        if coordinator.refills && coordinator.pools.part() > 0.2 {
+        if coordinator.refills && coordinator.pools.share() > 0.2 {
             coordinator.refills = false;
             let full = |(tenant, limit): (usize, &Limit)| CreditAmount {
                 tenant: id(tenant),
--- a/crates/quota/tests/gate.rs
+++ b/crates/quota/tests/gate.rs
@@ -10,7 +10,7 @@
 
 fn gate() -> Gate<u32> {
     let mut gate = Gate::new(1);
-    gate.set_bounded(true);
+    gate.set_any_limit(true);
     gate.set_linked(true);
     gate
 }
@@ -21,7 +21,7 @@
 }
 
 fn enter(gate: &mut Gate<u32>, call: u32, now: u64) -> Option<Outcome> {
-    gate.enter(TENANT, LIMIT, call, now).map(|(_, outcome)| outcome)
+    gate.admit(TENANT, LIMIT, call, now).map(|(_, outcome)| outcome)
 }
 
 #[test]
@@ -30,7 +30,7 @@
         let mut gate = gate();
         assert_eq!(enter(&mut gate, 1, 0), None);
         let asked = gate.request(NEAR, 0).expect("it asks");
-        gate.answered(answer(&asked, 1, 0), late);
+        gate.handle_answer(answer(&asked, 1, 0), late);
         let settled = gate.settle(late);
         assert_eq!(settled == [(1, Outcome::Admitted)], admitted, "{late}: {settled:?}");
     }
@@ -41,7 +41,7 @@
     let mut gate = gate();
     assert_eq!(enter(&mut gate, 1, 0), None);
     let asked = gate.request(NEAR, 0).expect("it asks");
-    gate.answered(answer(&asked, 1, 5), 2);
+    gate.handle_answer(answer(&asked, 1, 5), 2);
     assert_eq!(gate.settle(2).len(), 1);
     assert_eq!(enter(&mut gate, 2, 3), Some(Outcome::Admitted));
     // An hour later.
@@ -53,7 +53,7 @@
     let mut gate = gate();
     assert_eq!(enter(&mut gate, 1, 0), None);
     let asked = gate.request(NEAR, 0).expect("it asks");
-    gate.answered(answer(&asked, 1, 0), 2);
+    gate.handle_answer(answer(&asked, 1, 0), 2);
     assert_eq!(gate.settle(2).len(), 1);
     gate.refund(TENANT, LEASE_MS - 10);
     assert_eq!(enter(&mut gate, 2, LEASE_MS - 5), Some(Outcome::Admitted));
@@ -70,8 +70,8 @@
     assert!(gate.request(NEAR, LOAN_MS + 400).is_some_and(|request| !request.lends));
     // Nor is it the sidecar's own before that time is over.
     gate.set_linked(false);
-    assert!(!gate.is_alone(2 * LOAN_MS - 1));
-    assert!(gate.is_alone(2 * LOAN_MS));
+    assert!(!gate.is_standalone(2 * LOAN_MS - 1));
+    assert!(gate.is_standalone(2 * LOAN_MS));
 }
 
 #[test]
@@ -81,7 +81,7 @@
     for call in 0..100_000 {
         // Ten thousand tenants at once.
         let tenant = TenantId(u64::from(call % 10_000));
-        refused += usize::from(gate.enter(tenant, LIMIT, call, 5).is_some());
+        refused += usize::from(gate.admit(tenant, LIMIT, call, 5).is_some());
     }
     assert!(gate.waiting() <= 512, "{}", gate.waiting());
     assert_eq!(refused + gate.waiting(), 100_000);
@@ -96,7 +96,7 @@
     let mut gate = gate();
     assert_eq!(enter(&mut gate, 1, 0), None);
     let unlimited = Limit { rate_milli: 0, burst: 0 };
-    assert!(gate.enter(TENANT, unlimited, 2, 1).is_some());
+    assert!(gate.admit(TENANT, unlimited, 2, 1).is_some());
     assert_eq!(gate.settle(1), [(1, Outcome::Admitted)]);
 }
 
--- a/crates/sidecar/src/quota.rs
+++ b/crates/sidecar/src/quota.rs
@@ -48,7 +48,7 @@
         now: Millis,
     ) -> Option<(WaitingCall, Outcome)> {
         let limit = Limit { rate_milli: tenant.rate_milli, burst: tenant.burst };
-        self.gate.enter(tenant_id(&tenant.name), limit, call, now)
+        self.gate.admit(tenant_id(&tenant.name), limit, call, now)
     }
 
     /// Takes the calls whose wait is over, with their outcomes.
@@ -58,7 +58,7 @@
 
     /// Applies an answer of a coordinator.
     pub fn answered(&mut self, answer: CreditAnswer, now: Millis) {
-        self.gate.answered(answer, now);
+        self.gate.handle_answer(answer, now);
     }
 
     /// Charges a call to its tenant without waiting for a credit: a retry, or a call whose key
@@ -107,7 +107,7 @@
     /// Expires old state and logs failures to reach a coordinator; to be called periodically.
     /// `any_limit` tells whether any tenant has a limit.
     pub fn run_maintenance(&mut self, any_limit: bool, now: Millis) {
-        self.gate.set_bounded(any_limit);
+        self.gate.set_any_limit(any_limit);
         self.gate.expire(now);
         let GateCounts { unanswered, alone, .. } = self.gate.counts;
         if (unanswered, alone) != (self.logged.unanswered, self.logged.alone) {
