--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -27,7 +27,7 @@
     /// no tick passed meanwhile. Others may have elected a leader and taken entries, which a member
     /// that answered by what it knew before would deny. It keeps its term and vote.
     pub fn note_sleep(&mut self) {
-        if !self.weak(Weakness::TrustsAfterSleep) {
+        if !self.weak(Weakness::KeepsRoleAfterSleep) {
             self.become_follower(self.term, None);
         }
     }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -19,7 +19,7 @@
     /// Highest index saved durably by the driver.
     pub persisted: Index,
     /// Highest index handed to the driver for application.
-    pub handed_out: Index,
+    pub delivered: Index,
 }
 
 impl RaftLog {
@@ -39,7 +39,7 @@
             snapshot: Arc::new(snapshot),
             committed: snapshot_index,
             persisted,
-            handed_out: snapshot_index,
+            delivered: snapshot_index,
         }
     }
 
@@ -122,13 +122,13 @@
     /// Entries committed and saved, but not handed out yet.
     pub fn take_committed(&mut self) -> Vec<Entry> {
         let until = self.committed.min(self.persisted);
-        let from = self.handed_out + 1;
+        let from = self.delivered + 1;
         if until < from {
             return Vec::new();
         }
         let count = (until - from + 1) as usize;
         let taken = self.slice(from, count, usize::MAX).unwrap_or_default();
-        self.handed_out = until;
+        self.delivered = until;
         taken
     }
 
@@ -150,7 +150,7 @@
             self.persisted = meta.index;
         }
         self.committed = self.committed.max(meta.index);
-        self.handed_out = self.handed_out.max(meta.index);
+        self.delivered = self.delivered.max(meta.index);
         self.persisted = self.persisted.max(meta.index);
     }
 
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -49,14 +49,14 @@
     }
 
     /// Records that the peer answered a message of heartbeat round `round`.
-    pub fn heard_from(&mut self, round: u64) {
+    pub fn record_reply(&mut self, round: u64) {
         self.recently_active = true;
         self.probe_in_flight = false;
         self.acked_round = self.acked_round.max(round);
     }
 
     /// Records an acceptance up to `index`.
-    pub fn accepted(&mut self, index: Index) {
+    pub fn record_accepted(&mut self, index: Index) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
         let finished_snapshot =
@@ -67,7 +67,7 @@
     }
 
     /// Records a rejection: the peer's log ends at or before `hint`.
-    pub fn rejected(&mut self, hint: Index) {
+    pub fn record_rejected(&mut self, hint: Index) {
         if matches!(self.mode, Mode::Snapshot { .. }) {
             return;
         }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -22,7 +22,7 @@
     /// A leader never notices that it lost its quorum.
     NoQuorumCheck,
     /// A member whose machine slept takes for true what it knew before.
-    TrustsAfterSleep,
+    KeepsRoleAfterSleep,
 }
 
 /// Fixed parameters of one member.
@@ -323,7 +323,7 @@
             || !self.out.messages.is_empty()
             || !self.out.reads.is_empty()
             || !self.out.failed_reads.is_empty()
-            || self.log.committed.min(self.log.persisted) > self.log.handed_out
+            || self.log.committed.min(self.log.persisted) > self.log.delivered
     }
 
     /// Tells the core that entries up to `index` are durable on this member.
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -212,17 +212,17 @@
         let Some(progress) = peers.get_mut(&from) else {
             return;
         };
-        progress.heard_from(round);
+        progress.record_reply(round);
         let mut lost_entries = false;
         match result {
-            AppendResult::Accepted(index) => progress.accepted(index),
+            AppendResult::Accepted(index) => progress.record_accepted(index),
             AppendResult::Rejected(hint) => {
                 // Late news, or a peer that lost what it had acknowledged. To answer the latter
                 // at once would go on for ever without getting further, so it waits for the
                 // next heartbeat.
                 lost_entries = hint < progress.match_index;
                 let probe = hint.min(progress.next_index.saturating_sub(2));
-                progress.rejected(probe);
+                progress.record_rejected(probe);
             }
         }
         let behind = progress.next_index <= last && !lost_entries;
@@ -335,7 +335,7 @@
         let Some(progress) = peers.get_mut(&from) else {
             return;
         };
-        progress.heard_from(round);
+        progress.record_reply(round);
         if let Mode::Snapshot { index: sending, offset } = &mut progress.mode {
             if *sending == index {
                 *offset = next_offset;
--- a/crates/consensus/tests/network.rs
+++ b/crates/consensus/tests/network.rs
@@ -372,7 +372,7 @@
     let mut asleep = network.members.remove(&leader).expect("it is there");
     let next = network.elect();
     network.propose(next, "meanwhile");
-    if weakness != Some(Weakness::TrustsAfterSleep) {
+    if weakness != Some(Weakness::KeepsRoleAfterSleep) {
         assert!(asleep.is_leader(), "as it knows it");
     }
     asleep.note_sleep();
@@ -386,7 +386,7 @@
 fn a_member_that_slept_knows_no_leader_until_it_hears_of_one() {
     let after = vec!["before".to_owned(), "meanwhile".to_owned()];
     assert_eq!(leader_that_slept(None), (false, None, after));
-    let (leads, known, _) = leader_that_slept(Some(Weakness::TrustsAfterSleep));
+    let (leads, known, _) = leader_that_slept(Some(Weakness::KeepsRoleAfterSleep));
     assert!(leads && known.is_some(), "the broken variant is noticed");
 }
 
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -174,7 +174,7 @@
             is_leader: false,
             leader: None,
             term: raft.term(),
-            applied: raft.log().handed_out,
+            applied: raft.log().delivered,
             membership: raft.membership().clone(),
             quorum_contact: None,
             matched: BTreeMap::new(),
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -48,7 +48,7 @@
     /// A version number can be taken by a second bundle.
     AcceptsVersionTwice,
     /// A withdrawal returns to the earlier generation's number.
-    CountsDown,
+    ReusesGeneration,
     /// A replacement is taken whatever version it builds on.
     IgnoresExpectedVersion,
 }
@@ -387,7 +387,7 @@
         };
         let mut generation =
             self.next_generation(index, operator, digest, GenerationKind::Withdrawn);
-        if self.is_weak(RolloutWeakness::CountsDown) {
+        if self.is_weak(RolloutWeakness::ReusesGeneration) {
             generation = self.base.generation;
         }
         self.base = GenerationTarget { generation, digest, approval };
--- a/crates/simulator/src/control_node.rs
+++ b/crates/simulator/src/control_node.rs
@@ -103,7 +103,7 @@
             Raft::new(consensus, recovered.hard_state, recovered.snapshot, recovered.entries);
         ControlNode {
             id,
-            applied: raft.log().handed_out,
+            applied: raft.log().delivered,
             raft,
             store,
             config,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -144,7 +144,7 @@
         for id in 1..=voters {
             let mut store = MemoryStore::new(first_snapshot(membership.clone()));
             if self.is_broken(BrokenVariant::LyingDisks) {
-                store.lie_about_sync();
+                store.acknowledge_unsynced();
             }
             self.disks.insert(id, store);
             self.start_control(id);
@@ -196,7 +196,7 @@
                 weakness.rollout = Some(RolloutWeakness::AcceptsVersionTwice);
             }
             Some(BrokenVariant::WithdrawCountsDown) => {
-                weakness.rollout = Some(RolloutWeakness::CountsDown);
+                weakness.rollout = Some(RolloutWeakness::ReusesGeneration);
             }
             Some(BrokenVariant::ClaimStartsTwice) => {
                 weakness.claims = Some(claims::ClaimWeakness::StartsTwice);
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -23,7 +23,7 @@
     synced: Vec<u8>,
     unsynced: Vec<u8>,
     /// Broken variant: reports success before data is durable.
-    lies_about_sync: bool,
+    acknowledges_unsynced: bool,
 }
 
 impl MemoryStore {
@@ -31,12 +31,17 @@
     pub fn new(snapshot: Snapshot) -> Self {
         let checkpoint =
             Recovered { hard_state: HardState::default(), snapshot, entries: Vec::new() };
-        MemoryStore { checkpoint, synced: Vec::new(), unsynced: Vec::new(), lies_about_sync: false }
+        MemoryStore {
+            checkpoint,
+            synced: Vec::new(),
+            unsynced: Vec::new(),
+            acknowledges_unsynced: false,
+        }
     }
 
     /// Makes the disk report success early; checkers must notice.
-    pub fn lie_about_sync(&mut self) {
-        self.lies_about_sync = true;
+    pub fn acknowledge_unsynced(&mut self) {
+        self.acknowledges_unsynced = true;
     }
 
     /// What a process finds on this disk after a crash at `point` while saving `record`.
@@ -71,7 +76,7 @@
     ) -> Result<(), StorageError> {
         let record = Record { hard_state, entries: entries.to_vec() };
         let encoded = encode_record(&record);
-        if self.lies_about_sync {
+        if self.acknowledges_unsynced {
             // What was written before is synced by the next write, as a real disk would in time.
             self.synced.append(&mut self.unsynced);
             self.unsynced = encoded;
