--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -88,7 +88,7 @@
     /// Checkpoints for which the disk had no room so far.
     pub checkpoints_postponed: u64,
     /// When the replica's thread last looked; long ago if the process or the machine stood still.
-    pub checked_at: BootInstant,
+    pub updated_at: BootInstant,
 }
 
 /// How long a status is believed without its thread having looked again: ten ticks. A replica that
@@ -97,8 +97,8 @@
 
 impl ReplicaStatus {
     /// The leader, if one is known and the replica has not stood still since.
-    pub fn trusted_leader(&self) -> Option<u64> {
-        self.leader.filter(|_| self.checked_at.elapsed() < STATUS_TRUST)
+    pub fn current_leader(&self) -> Option<u64> {
+        self.leader.filter(|_| self.updated_at.elapsed() < STATUS_TRUST)
     }
 }
 
@@ -153,11 +153,11 @@
             data: Vec::new(),
         };
         let (store, recovered) = DiskStore::open(&parameters.folder, initial)?;
-        Self::start_on(store, recovered, parameters, send)
+        Self::start_with_store(store, recovered, parameters, send)
     }
 
     /// Starts the replica's thread on a store that was recovered.
-    pub fn start_on<S: LogStore + Send + 'static>(
+    pub fn start_with_store<S: LogStore + Send + 'static>(
         store: S,
         recovered: Recovered,
         parameters: ReplicaParameters,
@@ -180,7 +180,7 @@
             matched: BTreeMap::new(),
             storage_full: false,
             checkpoints_postponed: 0,
-            checked_at: BootInstant::now(),
+            updated_at: BootInstant::now(),
         };
         let published = Arc::new(Mutex::new(Published { machine, status }));
         let changed = Arc::new(Condvar::new());
@@ -203,7 +203,7 @@
     }
 
     /// Waits for a change of the state machine or the status.
-    pub fn wait_changed<'a>(
+    pub fn wait_for_change<'a>(
         &self,
         guard: MutexGuard<'a, Published<M>>,
         longest: Duration,
@@ -269,7 +269,7 @@
         let deadline = BootInstant::now() + timeout;
         let mut published = self.lock();
         while published.status.is_leader && BootInstant::now() < deadline {
-            published = self.wait_changed(published, Duration::from_millis(10));
+            published = self.wait_for_change(published, Duration::from_millis(10));
         }
     }
 }
--- a/crates/control/src/replica/driver.rs
+++ b/crates/control/src/replica/driver.rs
@@ -393,7 +393,7 @@
         status.is_leader = is_leader;
         status.leader = self.raft.leader();
         status.term = self.raft.term();
-        status.checked_at = BootInstant::now();
+        status.updated_at = BootInstant::now();
         status.quorum_contact = self.quorum_contact;
         if status.membership != *self.raft.membership() {
             status.membership = self.raft.membership().clone();
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -140,7 +140,7 @@
         if newer || left.is_zero() {
             break;
         }
-        published = replica.wait_changed(published, left);
+        published = replica.wait_for_change(published, left);
     }
     // A leader that was frozen or cut off still believes it leads; what it would say is only
     // passed on if a quorum answered it a moment ago.
--- a/crates/control/tests/full_storage.rs
+++ b/crates/control/tests/full_storage.rs
@@ -108,7 +108,7 @@
     };
     let (full, full_for_checkpoints) = (full.clone(), full_for_checkpoints.clone());
     let store = Failing { store, full, full_for_checkpoints };
-    Replica::start_on(store, recovered, parameters, |_| {}).expect("started")
+    Replica::start_with_store(store, recovered, parameters, |_| {}).expect("started")
 }
 
 /// Asks until the answer is this one.
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -158,13 +158,13 @@
     pub fn newest(&self) -> (u64, bool) {
         let published = self.replica.lock();
         let generation = published.machine.0.in_force_generation();
-        (generation, published.status.trusted_leader().is_some())
+        (generation, published.status.current_leader().is_some())
     }
 
     /// The latest generation that may be announced to sidecars; 0 while no leader is known.
     pub fn announced_generation(&self) -> u64 {
         let published = self.replica.lock();
-        match published.status.trusted_leader() {
+        match published.status.current_leader() {
             Some(_) => published.machine.0.newest_generation(),
             None => 0,
         }
@@ -198,7 +198,7 @@
         let (target, bundle) = machine.in_force();
         KnownConfiguration {
             generation: target.generation,
-            confirmed: published.status.trusted_leader().is_some(),
+            confirmed: published.status.current_leader().is_some(),
             held: machine.content(&held),
             bundle,
         }
@@ -226,7 +226,7 @@
         let mut observed = (0, None, Membership::default());
         loop {
             let published = self.replica.lock();
-            let published = self.replica.wait_changed(published, WATCH_INTERVAL);
+            let published = self.replica.wait_for_change(published, WATCH_INTERVAL);
             let status = &published.status;
             let now = (status.applied, status.leader, status.membership.clone());
             drop(published);
