--- a/crates/control/src/replica/driver.rs
+++ b/crates/control/src/replica/driver.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 use storage::{LogStore, StorageError};
-use telemetry::{BootInstant, SleepWatch};
+use telemetry::{BootInstant, SuspendDetector};
 use tracing::{error, info, warn};
 use verdict::Verdict;
 
@@ -83,11 +83,11 @@
     /// Runs until every handle of the replica is gone.
     pub fn run(mut self, inputs: Receiver<Input<M>>) {
         let mut next_tick = BootInstant::now() + self.parameters.tick;
-        let mut sleep = SleepWatch::default();
+        let mut sleep = SuspendDetector::default();
         loop {
             let wait = next_tick.saturating_duration_since(BootInstant::now());
             let received = inputs.recv_timeout(wait);
-            self.note_sleep(sleep.look());
+            self.note_sleep(sleep.check());
             match received {
                 Ok(input) => {
                     self.take(input);
@@ -111,7 +111,7 @@
                 Err(failure) if failure.is_full() => continue,
                 Err(failure) => {
                     error!(group = %self.parameters.group, error = %failure, "storage_failed");
-                    telemetry::exit_after_logs(EXIT_DISK_FAILED);
+                    telemetry::flush_logs_and_exit(EXIT_DISK_FAILED);
                 }
             }
         }
--- a/crates/coordinator/src/runtime.rs
+++ b/crates/coordinator/src/runtime.rs
@@ -85,7 +85,7 @@
     let clock = Clock::default();
     let transport = Arc::new(Transport::new(&settings.fleet, settings.mesh_port));
     let replica = start_replica(settings, own, &transport).context(StorageSnafu)?;
-    let voters = settings.voters_wanted() as usize;
+    let voters = settings.desired_voters() as usize;
     let autopilot = Autopilot::new(voters, settings.silence_ms);
     let seeds: Vec<Ipv4Addr> = settings.seeds.iter().map(|seed| *seed.ip()).collect();
     let group = Arc::new(Group::new(own, replica, transport.clone(), clock, autopilot, seeds));
--- a/crates/forward/src/queue.rs
+++ b/crates/forward/src/queue.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
     /// First in line: may try for an upstream.
-    Go,
+    Proceed,
     /// Others are before it.
     Wait,
     /// Refused: pushed out by a call of higher priority, or its time for waiting is over.
@@ -101,12 +101,12 @@
         };
         match self.waiting.iter().any(before_own) {
             true => QueueDecision::Wait,
-            false => QueueDecision::Go,
+            false => QueueDecision::Proceed,
         }
     }
 
     /// When the holder of a ticket must give up.
-    pub fn give_up_us(&self, ticket: Ticket) -> Option<u64> {
+    pub fn wait_deadline_us(&self, ticket: Ticket) -> Option<u64> {
         self.waiting.iter().find(|waiting| waiting.ticket == ticket).map(|own| own.give_up_us)
     }
 
--- a/crates/forward/tests/queue.rs
+++ b/crates/forward/tests/queue.rs
@@ -11,11 +11,11 @@
     let report = queue.join(Priority::Normal, 0, SECOND_US).unwrap();
     let charge = queue.join(Priority::High, 1, SECOND_US).unwrap();
     let later = queue.join(Priority::High, 2, SECOND_US).unwrap();
-    assert_eq!(queue.decide(charge, 3), QueueDecision::Go);
+    assert_eq!(queue.decide(charge, 3), QueueDecision::Proceed);
     assert_eq!(queue.decide(later, 3), QueueDecision::Wait);
     assert_eq!(queue.decide(report, 3), QueueDecision::Wait);
     queue.leave(charge);
-    assert_eq!(queue.decide(later, 4), QueueDecision::Go);
+    assert_eq!(queue.decide(later, 4), QueueDecision::Proceed);
 }
 
 #[test]
@@ -27,15 +27,15 @@
     let charge = queue.join(Priority::High, 3, SECOND_US).unwrap();
     assert_eq!(queue.decide(second, 4), QueueDecision::Shed, "the newest gives way");
     assert_eq!(queue.decide(first, 4), QueueDecision::Wait);
-    assert_eq!(queue.decide(charge, 4), QueueDecision::Go);
+    assert_eq!(queue.decide(charge, 4), QueueDecision::Proceed);
 }
 
 #[test]
 fn waiting_ends_when_its_time_is_over() {
     let mut queue = AdmissionQueue::new(2);
     let call = queue.join(Priority::Normal, 10, 50).unwrap();
-    assert_eq!(queue.give_up_us(call), Some(60));
-    assert_eq!(queue.decide(call, 59), QueueDecision::Go);
+    assert_eq!(queue.wait_deadline_us(call), Some(60));
+    assert_eq!(queue.decide(call, 59), QueueDecision::Proceed);
     assert_eq!(queue.decide(call, 60), QueueDecision::Shed);
 }
 
@@ -51,8 +51,8 @@
         queue.leave(held);
         held = next;
     }
-    assert!(queue.give_up_us(held).unwrap() - now_us <= 20_000);
+    assert!(queue.wait_deadline_us(held).unwrap() - now_us <= 20_000);
     queue.leave(held);
     let calm = queue.join(Priority::Normal, now_us + 1, SECOND_US).unwrap();
-    assert_eq!(queue.give_up_us(calm), Some(now_us + 1 + SECOND_US), "the overload is over");
+    assert_eq!(queue.wait_deadline_us(calm), Some(now_us + 1 + SECOND_US), "the overload is over");
 }
--- a/crates/http1/src/exchange.rs
+++ b/crates/http1/src/exchange.rs
@@ -31,7 +31,7 @@
     CutShort,
     /// What came is no answer.
     #[snafu(display("what came is not an answer"))]
-    Unreadable,
+    Malformed,
     /// The answer is longer than allowed.
     #[snafu(display("the answer is longer than allowed"))]
     TooLong,
@@ -156,7 +156,7 @@
         if foreign {
             self.foreign_answers += 1;
             if self.foreign_answers > MAX_FOREIGN_ANSWERS {
-                return Err(ExchangeError::Unreadable);
+                return Err(ExchangeError::Malformed);
             }
         }
         let decoder = BodyDecoder::new(head.length, self.most_body_bytes).map_err(body_error)?;
@@ -185,13 +185,13 @@
 fn head_error(error: HeadError) -> ExchangeError {
     match error {
         HeadError::TooLong => ExchangeError::TooLong,
-        HeadError::Malformed | HeadError::AmbiguousLength => ExchangeError::Unreadable,
+        HeadError::Malformed | HeadError::AmbiguousLength => ExchangeError::Malformed,
     }
 }
 
 fn body_error(error: BodyError) -> ExchangeError {
     match error {
         BodyError::TooLong => ExchangeError::TooLong,
-        BodyError::Malformed => ExchangeError::Unreadable,
+        BodyError::Malformed => ExchangeError::Malformed,
     }
 }
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -202,7 +202,7 @@
             Some(Err(ExchangeError::CutShort)),
         ),
         ("nothing", b"", clean, Some(Err(ExchangeError::NoAnswer))),
-        ("garbage", b"\x00\x01garbage\r\n\r\n", None, Some(Err(ExchangeError::Unreadable))),
+        ("garbage", b"\x00\x01garbage\r\n\r\n", None, Some(Err(ExchangeError::Malformed))),
         (
             "too long",
             b"HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n",
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -36,7 +36,7 @@
 
 /// Answers a call, whatever happens.
 pub(crate) fn handle(shared: &Shared, request: Request<Body>) -> Response<Vec<u8>> {
-    let Some(_place) = shared.calls.enter_within(shared.settings.max_calls) else {
+    let Some(_place) = shared.calls.try_enter(shared.settings.max_calls) else {
         let refusal = Refusal::not_run(RefusalKind::Overloaded, "too many calls at once");
         return refuse(shared, &refusal);
     };
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -134,7 +134,7 @@
     /// The next request.
     pub fn poll(&mut self) -> ProxyPoll {
         if !std::mem::take(&mut self.must_say_state) {
-            return ProxyPoll::Again;
+            return ProxyPoll::Applied;
         }
         let (endpoint_epoch, endpoint_sequence) = self.endpoints.position();
         let unknown_base = Digest([0; 32]);
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -102,14 +102,14 @@
             let state = &mut *guard;
             let queue = state.queues.entry(service.to_owned()).or_insert_with(new_queue);
             let now_us = self.now_us();
-            let give_up_us = queue.give_up_us(ticket).unwrap_or(now_us);
+            let give_up_us = queue.wait_deadline_us(ticket).unwrap_or(now_us);
             match queue.decide(ticket, now_us) {
                 QueueDecision::Shed => {
                     queue.leave(ticket);
                     self.freed.notify_all();
                     return Err(AcquireError::Overloaded);
                 }
-                QueueDecision::Go => {
+                QueueDecision::Proceed => {
                     let now_ms = self.clock.now_ms();
                     let picked = state.balancer.pick(service, exclude, now_ms, &mut state.random);
                     if picked != Err(PickError::AllBusy) {
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -125,7 +125,7 @@
         if news > 0 {
             shared.news.notify_all();
         }
-        connection.send(&ObservationReply { news })?;
+        connection.send(&ObservationReply { new_marks: news })?;
     }
 }
 
--- a/crates/relay/src/session.rs
+++ b/crates/relay/src/session.rs
@@ -56,7 +56,7 @@
         self.last_heard_ms = now_ms;
         self.catching_up = false;
         match poll {
-            ProxyPoll::Again => {
+            ProxyPoll::Applied => {
                 if let Some(sent) = self.sent.take() {
                     self.position = sent;
                 }
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -37,7 +37,7 @@
     /// Principal whose replacements arrive signed off; empty: nobody.
     #[serde(default)]
     pub trusted_source: String,
-    /// Members that vote, once there are as many; see [`CoordinatorSettings::voters_wanted`].
+    /// Members that vote, once there are as many; see [`CoordinatorSettings::desired_voters`].
     #[serde(default = "default_voters")]
     pub voters: u64,
     /// Machines of coordinators that may lose their disks at once.
@@ -99,7 +99,7 @@
 impl CoordinatorSettings {
     /// Voters that the group should have: a majority of them must outlive the losses that are to be
     /// borne at once.
-    pub fn voters_wanted(&self) -> u64 {
+    pub fn desired_voters(&self) -> u64 {
         self.voters.max(2 * self.tolerated_losses + 1)
     }
 }
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -33,7 +33,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use telemetry::{Clock, Registry, ReloadSignal, SleepWatch, StopSignal};
+use telemetry::{Clock, Registry, ReloadSignal, StopSignal, SuspendDetector};
 use tracing::{info, warn};
 
 const HOUSEKEEPING_MS: u64 = 50;
@@ -94,7 +94,7 @@
     dialect: D,
     own: NodeAddress,
     clock: Clock,
-    sleep: SleepWatch,
+    sleep: SuspendDetector,
     net: Net,
     listeners: Vec<ServerKind>,
     servers: Servers,
@@ -218,7 +218,7 @@
             dialect,
             own,
             clock: Clock::default(),
-            sleep: SleepWatch::default(),
+            sleep: SuspendDetector::default(),
             net,
             listeners,
             servers: Servers::default(),
@@ -291,7 +291,7 @@
     /// in the meantime is handled: calls past their deadline, silent links, outdated loads and
     /// confirmations.
     fn note_sleep(&mut self) {
-        let Some(slept) = self.sleep.look() else {
+        let Some(slept) = self.sleep.check() else {
             return;
         };
         let slept_ms = slept.as_millis() as u64;
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -239,11 +239,11 @@
         let now_ms = hosts.clock_ms(self.node());
         self.held.retain(|held| held.proxy != proxy);
         let session = match (self.sessions.get(&proxy), poll) {
-            (Some(session), ProxyPoll::Again) => {
+            (Some(session), ProxyPoll::Applied) => {
                 self.core.on_poll(*session, poll, now_ms);
                 *session
             }
-            (None, ProxyPoll::Again) => {
+            (None, ProxyPoll::Applied) => {
                 hosts.send(self.node(), proxy, Packet::Reset(call));
                 return;
             }
--- a/crates/telemetry/src/bounded.rs
+++ b/crates/telemetry/src/bounded.rs
@@ -16,17 +16,17 @@
 
 /// Passes on at most so many lines a second.
 #[derive(Clone, Debug)]
-pub struct BoundedWriter<W> {
+pub struct RateLimitedWriter<W> {
     inner: W,
     lines_per_second: u32,
     window: Arc<Mutex<Window>>,
 }
 
-impl<W> BoundedWriter<W> {
+impl<W> RateLimitedWriter<W> {
     /// A writer in front of another; each write is one line.
     pub fn new(inner: W, lines_per_second: u32) -> Self {
         let window = Window { began: Instant::now(), lines: 0, dropped: 0 };
-        BoundedWriter { inner, lines_per_second, window: Arc::new(Mutex::new(window)) }
+        RateLimitedWriter { inner, lines_per_second, window: Arc::new(Mutex::new(window)) }
     }
 
     /// Counts a line; the number dropped before is returned when a new window begins.
@@ -45,7 +45,7 @@
     }
 }
 
-impl<W: Write> Write for BoundedWriter<W> {
+impl<W: Write> Write for RateLimitedWriter<W> {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let (admitted, dropped) = self.admit();
         if dropped > 0 {
@@ -62,8 +62,8 @@
     }
 }
 
-impl<'a, W: Write + Clone + 'a> MakeWriter<'a> for BoundedWriter<W> {
-    type Writer = BoundedWriter<W>;
+impl<'a, W: Write + Clone + 'a> MakeWriter<'a> for RateLimitedWriter<W> {
+    type Writer = RateLimitedWriter<W>;
 
     fn make_writer(&'a self) -> Self::Writer {
         self.clone()
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -69,28 +69,28 @@
 
 /// Notices that the machine slept: more time passed since boot than on the steady clock.
 #[derive(Clone, Copy, Debug)]
-pub struct SleepWatch {
+pub struct SuspendDetector {
     boot: BootInstant,
     steady: Instant,
 }
 
-impl Default for SleepWatch {
+impl Default for SuspendDetector {
     fn default() -> Self {
-        SleepWatch { boot: BootInstant::now(), steady: Instant::now() }
+        SuspendDetector { boot: BootInstant::now(), steady: Instant::now() }
     }
 }
 
-impl SleepWatch {
+impl SuspendDetector {
     /// How long the machine slept since the last look, if it did.
-    pub fn look(&mut self) -> Option<Duration> {
-        self.look_at(BootInstant::now(), Instant::now())
+    pub fn check(&mut self) -> Option<Duration> {
+        self.check_at(BootInstant::now(), Instant::now())
     }
 
     /// The same with both clocks read before.
-    pub fn look_at(&mut self, boot: BootInstant, steady: Instant) -> Option<Duration> {
+    pub fn check_at(&mut self, boot: BootInstant, steady: Instant) -> Option<Duration> {
         let passed = boot.saturating_duration_since(self.boot);
         let awake = steady.saturating_duration_since(self.steady);
-        *self = SleepWatch { boot, steady };
+        *self = SuspendDetector { boot, steady };
         let slept = passed.saturating_sub(awake);
         (slept >= SHORTEST_SLEEP).then_some(slept)
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -8,15 +8,15 @@
 mod requests;
 mod signal;
 
-pub use bounded::BoundedWriter;
-pub use clock::{BootInstant, Clock, SleepWatch};
+pub use bounded::RateLimitedWriter;
+pub use clock::{BootInstant, Clock, SuspendDetector};
 pub use logging::{
-    exit_after_logs, init_logging, init_logging_to_stdout, parse_level, LogGuard, UnknownLevel,
+    flush_logs_and_exit, init_logging, init_logging_to_stdout, parse_level, LogGuard, UnknownLevel,
     LINES_PER_SECOND,
 };
 pub use metrics::{
     CallCounters, CallLabels, Counter, Gauge, Histogram, MetricsServer, MetricsServerError,
     Registry,
 };
-pub use requests::{QuietWait, RequestCounter, RequestPlace};
+pub use requests::{QuietWait, RequestCounter, RequestGuard};
 pub use signal::{ReloadSignal, StopSignal, StopSignalError};
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,6 +1,6 @@
 //! One line of `key=value` pairs per event.
 
-use crate::BoundedWriter;
+use crate::RateLimitedWriter;
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
 use tracing::field::{Field, Visit};
@@ -57,7 +57,7 @@
         .finish(std::io::stdout());
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
-        .with_writer(BoundedWriter::new(writer, LINES_PER_SECOND))
+        .with_writer(RateLimitedWriter::new(writer, LINES_PER_SECOND))
         .event_format(KeyValueFormat)
         .finish();
     let _ = tracing::subscriber::set_global_default(subscriber);
@@ -81,7 +81,7 @@
 }
 
 /// Ends the process from any thread, after the lines that wait are written out: they say why.
-pub fn exit_after_logs(code: i32) -> ! {
+pub fn flush_logs_and_exit(code: i32) -> ! {
     write_out();
     std::process::exit(code)
 }
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -15,7 +15,7 @@
 }
 
 /// One request in flight, counted while this value lives.
-pub struct RequestPlace<'a> {
+pub struct RequestGuard<'a> {
     counter: &'a RequestCounter,
 }
 
@@ -30,14 +30,14 @@
 
 impl RequestCounter {
     /// Takes a place.
-    pub fn enter(&self) -> RequestPlace<'_> {
+    pub fn enter(&self) -> RequestGuard<'_> {
         self.entered.fetch_add(1, Ordering::Relaxed);
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        RequestPlace { counter: self }
+        RequestGuard { counter: self }
     }
 
     /// Takes a place, unless all are taken.
-    pub fn enter_within(&self, most: u64) -> Option<RequestPlace<'_>> {
+    pub fn try_enter(&self, most: u64) -> Option<RequestGuard<'_>> {
         let place = self.enter();
         (self.in_flight() <= most).then_some(place)
     }
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for RequestPlace<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         self.counter.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/telemetry/tests/bounded_logs.rs
+++ b/crates/telemetry/tests/bounded_logs.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
-use telemetry::BoundedWriter;
+use telemetry::RateLimitedWriter;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
 #[derive(Clone, Default)]
@@ -36,7 +36,7 @@
 #[test]
 fn lines_beyond_the_bound_are_dropped_and_counted() {
     let lines = Lines::default();
-    let mut writer = BoundedWriter::new(lines.clone(), 10);
+    let mut writer = RateLimitedWriter::new(lines.clone(), 10);
     for _ in 0..50 {
         writer.write_all(b"line\n").expect("written");
     }
@@ -53,7 +53,7 @@
     let (hold, held) = std::sync::mpsc::channel();
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(16);
     let (writer, guard) = builder.finish(Stuck(held));
-    let mut writer = BoundedWriter::new(writer, u32::MAX);
+    let mut writer = RateLimitedWriter::new(writer, u32::MAX);
     for _ in 0..10_000 {
         writer.write_all(b"line\n").expect("taken or dropped, never waited for");
     }
--- a/crates/telemetry/tests/clock.rs
+++ b/crates/telemetry/tests/clock.rs
@@ -2,7 +2,7 @@
 //! are given.
 
 use std::time::{Duration, Instant};
-use telemetry::{BootInstant, SleepWatch};
+use telemetry::{BootInstant, SuspendDetector};
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -21,11 +21,11 @@
     ];
     for (name, boot_ms, steady_ms, slept_ms) in rows {
         let (boot, steady) = (BootInstant::now(), Instant::now());
-        let mut watch = SleepWatch::default();
-        watch.look_at(boot, steady);
-        let slept = watch.look_at(boot + ms(boot_ms), steady + ms(steady_ms));
+        let mut watch = SuspendDetector::default();
+        watch.check_at(boot, steady);
+        let slept = watch.check_at(boot + ms(boot_ms), steady + ms(steady_ms));
         assert_eq!(slept, slept_ms.map(ms), "{name}");
-        let next = watch.look_at(boot + ms(boot_ms + 10), steady + ms(steady_ms + 10));
+        let next = watch.check_at(boot + ms(boot_ms + 10), steady + ms(steady_ms + 10));
         assert_eq!(next, None, "{name}: it is told once");
     }
 }
@@ -33,9 +33,9 @@
 #[test]
 fn a_clock_that_goes_back_tells_no_time_and_no_sleep() {
     let (boot, steady) = (BootInstant::now(), Instant::now());
-    let mut watch = SleepWatch::default();
-    watch.look_at(boot + ms(10_000), steady);
-    assert_eq!(watch.look_at(boot, steady + ms(50)), None);
+    let mut watch = SuspendDetector::default();
+    watch.check_at(boot + ms(10_000), steady);
+    assert_eq!(watch.check_at(boot, steady + ms(50)), None);
     assert_eq!(boot.saturating_duration_since(boot + ms(1)), Duration::ZERO);
 }
 
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -42,7 +42,7 @@
     },
     /// The greeting failed.
     #[snafu(display("greeting {address} failed: {source}"))]
-    Greeting {
+    Handshake {
         /// Peer.
         address: SocketAddr,
         /// Cause.
@@ -58,7 +58,7 @@
     },
     /// A request or answer was lost.
     #[snafu(display("conversation with {address} failed: {source}"))]
-    Conversation {
+    Exchange {
         /// Peer.
         address: SocketAddr,
         /// Cause.
@@ -70,7 +70,7 @@
     /// Whether the request may have had an effect.
     pub fn verdict(&self) -> Verdict {
         match self {
-            WireError::Conversation { .. } => Verdict::MayHaveRun,
+            WireError::Exchange { .. } => Verdict::MayHaveRun,
             _ => Verdict::NotRun,
         }
     }
@@ -113,9 +113,9 @@
     fn greet(&mut self, purpose: Purpose) -> Result<(), WireError> {
         let address = self.address;
         let hello = Hello { protocol: PROTOCOL_VERSION, purpose };
-        write_frame(&mut self.stream, &hello).context(GreetingSnafu { address })?;
+        write_frame(&mut self.stream, &hello).context(HandshakeSnafu { address })?;
         let (reply, _) =
-            read_frame::<HelloReply>(&mut self.stream).context(GreetingSnafu { address })?;
+            read_frame::<HelloReply>(&mut self.stream).context(HandshakeSnafu { address })?;
         match reply {
             HelloReply::Welcome => Ok(()),
             HelloReply::Refused { reason } => RefusedSnafu { address, reason }.fail(),
@@ -137,7 +137,7 @@
     /// Sends a message that is not answered.
     pub fn send<T: Writable<LittleEndian>>(&mut self, message: &T) -> Result<(), WireError> {
         let address = self.address;
-        let sent = write_frame(&mut self.stream, message).context(ConversationSnafu { address })?;
+        let sent = write_frame(&mut self.stream, message).context(ExchangeSnafu { address })?;
         self.sent_bytes += sent as u64;
         Ok(())
     }
@@ -152,8 +152,7 @@
         let address = self.address;
         self.stream.sock.set_read_timeout(Some(timeout)).context(ConnectSnafu { address })?;
         self.send(request)?;
-        let (answer, received) =
-            read_frame(&mut self.stream).context(ConversationSnafu { address })?;
+        let (answer, received) = read_frame(&mut self.stream).context(ExchangeSnafu { address })?;
         self.received_bytes += received as u64;
         Ok(answer)
     }
@@ -181,7 +180,7 @@
         prepare_socket(&socket).context(ConnectSnafu { address })?;
         let session = rustls::ServerConnection::new(tls.server()).context(TlsSnafu { address })?;
         let mut stream = StreamOwned::new(session, socket);
-        let (hello, _) = read_frame::<Hello>(&mut stream).context(GreetingSnafu { address })?;
+        let (hello, _) = read_frame::<Hello>(&mut stream).context(HandshakeSnafu { address })?;
         let peer = stream
             .conn
             .peer_certificates()
@@ -192,7 +191,7 @@
             None => HelloReply::Welcome,
             Some(reason) => HelloReply::Refused { reason: reason.clone() },
         };
-        write_frame(&mut stream, &reply).context(GreetingSnafu { address })?;
+        write_frame(&mut stream, &reply).context(HandshakeSnafu { address })?;
         let refused = reason.is_some();
         ensure!(!refused, RefusedSnafu { address, reason: reason.unwrap_or_default() });
         let purpose = hello.purpose;
@@ -217,7 +216,7 @@
         let address = self.address;
         self.stream.sock.set_read_timeout(Some(timeout)).context(ConnectSnafu { address })?;
         let (message, received) =
-            read_frame(&mut self.stream).context(ConversationSnafu { address })?;
+            read_frame(&mut self.stream).context(ExchangeSnafu { address })?;
         self.received_bytes += received as u64;
         Ok(message)
     }
@@ -225,7 +224,7 @@
     /// Sends an answer. The write times out rather than wait for a reader that does not read.
     pub fn send<T: Writable<LittleEndian>>(&mut self, message: &T) -> Result<(), WireError> {
         let address = self.address;
-        let sent = write_frame(&mut self.stream, message).context(ConversationSnafu { address })?;
+        let sent = write_frame(&mut self.stream, message).context(ExchangeSnafu { address })?;
         self.sent_bytes += sent as u64;
         Ok(())
     }
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -177,7 +177,7 @@
     /// First request of a connection, and after anything but plain success.
     State(ProxyState),
     /// Everything the last answer held was applied.
-    Again,
+    Applied,
 }
 
 /// A target and how to get there.
@@ -237,7 +237,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ObservationReply {
     /// How many were news.
-    pub news: u32,
+    pub new_marks: u32,
 }
 
 /// A relay asks a peer for leaving marks.
