--- a/crates/chutecove/src/cli/coordinator.rs
+++ b/crates/chutecove/src/cli/coordinator.rs
@@ -1,7 +1,7 @@
 //! `chutecove coordinator`
 
 use crate::cli::{parse, role_options, role_settings_path};
-use crate::dialect::ProductOperators;
+use crate::dialect::NativeOperatorDialect;
 use crate::exit::Failure;
 use settings::CoordinatorSettings;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     let settings: CoordinatorSettings =
         settings::load(&path, &overrides).map_err(Failure::usage)?;
     let stop = StopSignal::install().map_err(Failure::refused)?;
-    let running = coordinator::run(&settings, Arc::new(ProductOperators), stop);
+    let running = coordinator::run(&settings, Arc::new(NativeOperatorDialect), stop);
     running.map_err(Failure::usage)?.wait();
     Ok(())
 }
--- a/crates/chutecove/src/cli/sidecar.rs
+++ b/crates/chutecove/src/cli/sidecar.rs
@@ -1,7 +1,7 @@
 //! `chutecove sidecar`
 
 use crate::cli::{parse, role_options, role_settings_path};
-use crate::dialect::{ProductRegistration, HEADERS};
+use crate::dialect::{NativeRegistrationDialect, HEADERS};
 use crate::exit::Failure;
 use telemetry::{ReloadSignal, StopSignal};
 
@@ -17,6 +17,6 @@
     let settings = settings::load(&path, &overrides).map_err(Failure::usage)?;
     let stop = StopSignal::install().map_err(Failure::refused)?;
     let reload = ReloadSignal::install().map_err(Failure::refused)?;
-    let dialect = ProductRegistration;
+    let dialect = NativeRegistrationDialect;
     sidecar::run(settings, Some(path), HEADERS, dialect, &stop, &reload).map_err(Failure::usage)
 }
--- a/crates/chutecove/src/dialect.rs
+++ b/crates/chutecove/src/dialect.rs
@@ -51,9 +51,9 @@
 
 /// Registration of upstreams: `POST /v1/instances/ID/heartbeat` and `.../leave`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ProductRegistration;
+pub struct NativeRegistrationDialect;
 
-impl RegistrationDialect for ProductRegistration {
+impl RegistrationDialect for NativeRegistrationDialect {
     fn read(&self, method: &str, target: &str, body: &[u8]) -> Option<RegistrationCall> {
         let rest = target.strip_prefix(INSTANCES).filter(|_| method == "POST")?;
         if let Some(instance) = rest.strip_suffix(LEAVE) {
@@ -145,9 +145,9 @@
 
 /// Orders of operators: `PUT` and `GET /v1/configuration`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ProductOperators;
+pub struct NativeOperatorDialect;
 
-impl OperatorDialect for ProductOperators {
+impl OperatorDialect for NativeOperatorDialect {
     fn classify(&self, method: &str, url: &str) -> Option<OperatorCall> {
         match (method, url) {
             ("PUT", CONFIGURATION) => Some(OperatorCall::Replace),
--- a/crates/chutecove/src/lib.rs
+++ b/crates/chutecove/src/lib.rs
@@ -48,7 +48,7 @@
 ";
 
 /// Runs a command line without the program's name and returns the exit code.
-pub fn main_with(arguments: &[String]) -> ExitCode {
+pub fn run_cli(arguments: &[String]) -> ExitCode {
     let result = match arguments.split_first() {
         Some((command, rest)) => run(command, rest),
         None => Err(Failure::usage(USAGE)),
--- a/crates/chutecove/src/main.rs
+++ b/crates/chutecove/src/main.rs
@@ -5,5 +5,5 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    chutecove::main_with(&arguments)
+    chutecove::run_cli(&arguments)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -38,7 +38,7 @@
         return ExitCode::from(2);
     };
     let result = match command.as_str() {
-        "product" => return chutecove::main_with(rest),
+        "product" => return chutecove::run_cli(rest),
         "demo" => demo::run(rest),
         "experiment" => experiment::run(rest),
         "report" => experiment::report::run(rest),
