--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,14 +1,14 @@
-//! Time and terms: election timeouts, pre-vote, votes, quorum check and leadership transfer.
+//! Elections: timeouts, pre-votes, votes, quorum checks and leadership transfer.
 
 use crate::progress::Progress;
 use crate::raft::{Raft, Role, Weakness};
 use crate::{Body, Message, NodeId, Payload, Term};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Votes that a member which has just started asks for in vain before it waits as long as others:
-/// members that start at the same moment split their votes, which passes; slow disks, which make
-/// votes late, do not.
-const MOST_EARLY_CAMPAIGNS: u32 = 3;
+/// Elections that a newly started member may lose before it falls back to the normal election
+/// timeout. Members that start at the same time can split their votes, which resolves itself after a
+/// few elections; votes delayed by slow disks do not.
+const MAX_EARLY_CAMPAIGNS: u32 = 3;
 
 impl Raft {
     /// Advances time by one tick.
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Forgets who leads, itself included: the machine slept for longer than an election takes, and
-    /// no tick passed meanwhile. Others may have elected a leader and taken entries, which a member
-    /// that answered by what it knew before would deny. It keeps its term and vote.
+    /// Becomes a follower without a known leader, to be called after the machine was asleep for longer
+    /// than an election takes. No ticks passed meanwhile, and the others may have elected a leader and
+    /// committed entries that this member would miss if it kept its role. Keeps term and vote.
     pub fn note_sleep(&mut self) {
-        if !self.weak(Weakness::KeepsRoleAfterSleep) {
+        if !self.has_weakness(Weakness::KeepsRoleAfterSleep) {
             self.become_follower(self.term, None);
         }
     }
@@ -38,7 +38,7 @@
         if self.ticks_since_quorum_check >= self.config.election_ticks {
             self.ticks_since_quorum_check = 0;
             self.transfer_to = None;
-            if !self.check_quorum() && !self.weak(Weakness::NoQuorumCheck) {
+            if !self.check_quorum() && !self.has_weakness(Weakness::NoQuorumCheck) {
                 self.become_follower(self.term, None);
                 return;
             }
@@ -49,40 +49,43 @@
         }
     }
 
-    /// A leader that heard from no quorum for an election timeout steps down (section 6.2).
+    /// Whether a quorum has replied since the last check; otherwise the leader steps down
+    /// (section 6.2).
     fn check_quorum(&mut self) -> bool {
         let id = self.config.id;
         let membership = self.membership.clone();
         let Role::Leader { peers } = &mut self.role else {
             return false;
         };
-        let alive = membership.has_quorum(|voter| {
+        let quorum_active = membership.has_quorum(|voter| {
             voter == id || peers.get(&voter).is_some_and(|peer| peer.recently_active)
         });
         for peer in peers.values_mut() {
             peer.recently_active = false;
         }
-        alive
+        quorum_active
     }
 
     pub(crate) fn reset_election_timer(&mut self) {
         self.ticks_since_leader = 0;
-        let least = self.config.election_ticks;
-        self.election_deadline = least + self.random.u32(0..least.max(1));
+        let min_ticks = self.config.election_ticks;
+        self.election_deadline = min_ticks + self.rng.u32(0..min_ticks.max(1));
     }
 
-    /// A member that just started asks for votes early, again and again until it knows a leader: if
-    /// all were down there is none to wait for, but the others may start later than this one. If
-    /// there is a leader its followers refuse the pre-vote (section 9.6), which binds nobody. Real
-    /// votes that were split are asked for again as early, a few times.
-    pub(crate) fn shorten_election(&mut self) {
+    /// Sets a shorter election timeout, used by a newly started member until it knows a leader. If
+    /// the whole group was down, there is no leader to wait for, but the others may start later than
+    /// this member, so it repeats its pre-vote. If there is a leader, its followers reject the pre-vote
+    /// (section 9.6), which changes no state. After split votes the shorter timeout is used up to
+    /// [`MAX_EARLY_CAMPAIGNS`] times.
+    pub(crate) fn set_short_election_timeout(&mut self) {
         self.reset_election_timer();
-        let most = (self.config.election_ticks / 2).max(2);
-        self.election_deadline = self.random.u32(1..=most);
+        let max_ticks = (self.config.election_ticks / 2).max(2);
+        self.election_deadline = self.rng.u32(1..=max_ticks);
     }
 
-    /// Whether a live leader was heard from within the shortest election timeout (section 4.2.3).
-    fn leader_is_recent(&self) -> bool {
+    /// Whether this member is the leader, or has heard from the leader within the minimum election
+    /// timeout (section 4.2.3).
+    fn has_recent_leader(&self) -> bool {
         self.is_leader()
             || (self.leader().is_some() && self.ticks_since_leader < self.config.election_ticks)
     }
@@ -94,8 +97,8 @@
         }
         let votes = BTreeSet::from([self.config.id]);
         let campaign_term = self.term + 1;
-        if self.is_new && (pre || self.early_campaigns < MOST_EARLY_CAMPAIGNS) {
-            self.shorten_election();
+        if self.no_leader_yet && (pre || self.early_campaigns < MAX_EARLY_CAMPAIGNS) {
+            self.set_short_election_timeout();
             self.early_campaigns += u32::from(!pre);
         }
         if pre {
@@ -106,7 +109,7 @@
             self.role = Role::Candidate { votes };
         }
         if self.membership.quorum() == 1 {
-            self.win(pre);
+            self.on_election_won(pre);
             return;
         }
         let body = Body::RequestVote {
@@ -124,7 +127,7 @@
         }
     }
 
-    fn win(&mut self, pre: bool) {
+    fn on_election_won(&mut self, pre: bool) {
         if pre {
             self.campaign(false, false);
         } else {
@@ -142,11 +145,11 @@
             .map(|member| (member, Progress::new(next)))
             .collect();
         self.role = Role::Leader { peers };
-        self.is_new = false;
+        self.no_leader_yet = false;
         self.ticks_since_quorum_check = 0;
         self.ticks_since_heartbeat = 0;
         self.transfer_to = None;
-        self.append_own(Payload::Noop);
+        self.append_as_leader(Payload::Noop);
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
@@ -154,9 +157,9 @@
         if term > self.term {
             self.term = term;
             self.vote = None;
-            self.incoming = None;
+            self.incoming_snapshot = None;
         }
-        self.is_new &= leader.is_none();
+        self.no_leader_yet &= leader.is_none();
         self.role = Role::Follower { leader };
         self.transfer_to = None;
         self.reset_election_timer();
@@ -171,20 +174,21 @@
             return;
         }
         if message.term < self.term {
-            self.answer_stale(&message);
+            self.reject_stale(&message);
             return;
         }
         self.handle(message);
     }
 
-    /// Returns false when the message must be ignored.
+    /// Handles the higher term of a message; returns false if the message must be ignored.
     fn observe_higher_term(&mut self, message: &Message) -> bool {
         match message.body {
             Body::RequestVote { pre: true, .. } | Body::VoteReply { pre: true, granted: true } => {
                 true
             }
-            // A live leader protects its followers from disruptive candidates (section 4.2.3).
-            Body::RequestVote { pre: false, transfer: false, .. } if self.leader_is_recent() => {
+            // Ignored while the leader is active, so that a removed or partitioned member cannot
+            // disrupt the group (section 4.2.3).
+            Body::RequestVote { pre: false, transfer: false, .. } if self.has_recent_leader() => {
                 false
             }
             Body::Append { .. } | Body::SnapshotChunk { .. } => {
@@ -198,8 +202,8 @@
         }
     }
 
-    /// Tells a sender of an earlier term about the current one.
-    fn answer_stale(&mut self, message: &Message) {
+    /// Notifies the sender of a message with an earlier term of the current one.
+    fn reject_stale(&mut self, message: &Message) {
         match message.body {
             Body::Append { round, .. } | Body::SnapshotChunk { round, .. } => {
                 self.reject_append(message.from, round, 0);
@@ -218,9 +222,9 @@
                 let up_to_date =
                     (last_term, last_index) >= (self.log.last_term(), self.log.last_index());
                 if pre {
-                    self.answer_pre_vote(from, message.term, up_to_date);
+                    self.reply_to_pre_vote(from, message.term, up_to_date);
                 } else {
-                    self.answer_vote(from, up_to_date);
+                    self.reply_to_vote(from, up_to_date);
                 }
             }
             Body::VoteReply { pre, granted } => self.on_vote_reply(from, pre, granted),
@@ -229,18 +233,19 @@
         }
     }
 
-    fn answer_pre_vote(&mut self, from: NodeId, term: Term, up_to_date: bool) {
-        let granted = up_to_date && term > self.term && !self.leader_is_recent();
-        // A granted pre-vote answers with the term asked for, so that the candidate can match it.
+    fn reply_to_pre_vote(&mut self, from: NodeId, term: Term, up_to_date: bool) {
+        let granted = up_to_date && term > self.term && !self.has_recent_leader();
+        // A grant carries the requested term, so that the candidate can match it to its request.
         let reply_term = if granted { term } else { self.term };
         let body = Body::VoteReply { pre: true, granted };
         let id = self.config.id;
         self.out.messages.push(Message { from: id, to: from, term: reply_term, body });
     }
 
-    fn answer_vote(&mut self, from: NodeId, up_to_date: bool) {
-        let free = self.vote.is_none() && self.leader().is_none();
-        let may_vote = free || self.vote == Some(from) || self.weak(Weakness::DoubleVote);
+    fn reply_to_vote(&mut self, from: NodeId, up_to_date: bool) {
+        let no_vote_or_leader = self.vote.is_none() && self.leader().is_none();
+        let may_vote =
+            no_vote_or_leader || self.vote == Some(from) || self.has_weakness(Weakness::DoubleVote);
         let granted = up_to_date && may_vote;
         if granted {
             self.vote = Some(from);
@@ -261,7 +266,7 @@
         }
         votes.insert(from);
         if membership.has_quorum(|voter| votes.contains(&voter)) {
-            self.win(pre);
+            self.on_election_won(pre);
         }
     }
 
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Starts handing leadership to `to`; proposals are refused meanwhile (section 3.10).
+    /// Starts transferring leadership to `to`; proposals are rejected meanwhile (section 3.10).
     pub fn transfer_leadership(&mut self, to: NodeId) {
         if !self.is_leader() || !self.membership.voters.contains(&to) || to == self.config.id {
             return;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! A replicated log as a pure state machine: `step`, `tick`, `propose`, `ready`.
+//! Raft consensus as a pure state machine, driven through `step`, `tick`, `propose` and `ready`.
 //!
-//! Written from Ongaro, "Consensus: Bridging Theory and Practice" (the Raft dissertation, 2014);
-//! doc comments name its sections. The core does no I/O and reads no clock: the driver feeds it
-//! messages and ticks, saves what [`Ready`] lists, and only then sends `Ready::messages`.
+//! Implements Raft as described in Ongaro, "Consensus: Bridging Theory and Practice" (the Raft
+//! dissertation, 2014); doc comments cite its sections. The core does no I/O and reads no clock:
+//! the driver passes in messages and ticks, persists what [`Ready`] lists, and only then sends
+//! `Ready::messages`.
 #![forbid(unsafe_code)]
 
 mod election;
@@ -20,9 +21,9 @@
 pub use progress::Progress;
 pub use raft::{Config, ProposeError, Raft, ReadState, Ready, Role, Weakness};
 
-/// Identifies one voter or learner; never reused after its disk was lost.
+/// Identifies a voter or learner. An id is never reused after the member lost its disk.
 pub type NodeId = u64;
-/// A leader's term of office (dissertation section 3.3).
+/// A Raft term (dissertation section 3.3).
 pub type Term = u64;
-/// A position in the log; the first entry has index 1.
+/// Position in the log; the first entry has index 1.
 pub type Index = u64;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes and who only learns; changes move one member at a time (section 4.1).
+//! Voters and learners of a group. Voters are changed one at a time (section 4.1).
 
 use crate::NodeId;
 use speedy::{Readable, Writable};
@@ -8,24 +8,24 @@
 /// Voters and learners of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct Membership {
-    /// Members whose acknowledgement counts.
+    /// Members that vote and count towards a quorum.
     pub voters: BTreeSet<NodeId>,
-    /// Members that receive the log but do not count (section 4.2.1).
+    /// Members that receive the log but do not count towards a quorum (section 4.2.1).
     pub learners: BTreeSet<NodeId>,
 }
 
-/// Why a membership change was refused.
+/// Why a membership change was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipError {
-    /// More than one voter would change at once, which could make two disjoint majorities.
+    /// More than one voter would change at once, which could produce two disjoint majorities.
     MoreThanOneVoter,
-    /// The change would leave no voter.
+    /// The change would leave the group without voters.
     NoVoters,
-    /// An earlier change is not committed yet.
+    /// A previous membership change is not committed yet.
     ChangeInProgress,
     /// The learner to promote has not caught up.
     LearnerBehind,
-    /// A voter must have been a learner first.
+    /// The new voter is not a learner.
     NotALearner,
 }
 
@@ -44,27 +44,28 @@
 impl std::error::Error for MembershipError {}
 
 impl Membership {
-    /// A group of voters without learners.
+    /// Creates a membership of voters without learners.
     pub fn of_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Membership { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Number of voters that make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Every voter and learner.
+    /// All voters and learners.
     pub fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(self.learners.iter()).copied()
     }
 
-    /// Whether `have` holds a majority of the voters.
-    pub fn has_quorum(&self, have: impl Fn(NodeId) -> bool) -> bool {
-        self.voters.iter().filter(|voter| have(**voter)).count() >= self.quorum()
+    /// Whether a majority of the voters satisfy `counts`.
+    pub fn has_quorum(&self, counts: impl Fn(NodeId) -> bool) -> bool {
+        self.voters.iter().filter(|voter| counts(**voter)).count() >= self.quorum()
     }
 
-    /// Checks that `next` differs from `self` by at most one voter.
+    /// Checks that `next` differs from `self` by at most one voter, and that a new voter is a learner
+    /// of `self`.
     pub fn check_change(&self, next: &Membership) -> Result<(), MembershipError> {
         if next.voters.is_empty() {
             return Err(MembershipError::NoVoters);
@@ -72,8 +73,9 @@
         if self.voters.symmetric_difference(&next.voters).count() > 1 {
             return Err(MembershipError::MoreThanOneVoter);
         }
-        let unknown = next.voters.difference(&self.voters).any(|id| !self.learners.contains(id));
-        if unknown {
+        let not_a_learner =
+            next.voters.difference(&self.voters).any(|id| !self.learners.contains(id));
+        if not_a_learner {
             return Err(MembershipError::NotALearner);
         }
         Ok(())
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,17 +1,17 @@
-//! Log entries and the messages voters exchange.
+//! Log entries, and the messages that members of a group exchange.
 
 use crate::{Index, Membership, NodeId, Term};
 use speedy::{Readable, Writable};
 use std::sync::Arc;
 
-/// What one log entry carries.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Payload {
-    /// Appended by every new leader so that it can commit in its own term (section 6.4).
+    /// Appended by every new leader so that it can commit an entry of its own term (section 6.4).
     Noop,
     /// A command for the replicated state machine.
     Command(Vec<u8>),
-    /// A new membership, in force from the moment it is appended (section 4.1).
+    /// A new membership, effective as soon as it is appended (section 4.1).
     Membership(Membership),
 }
 
@@ -22,11 +22,11 @@
     pub term: Term,
     /// Position in the log.
     pub index: Index,
-    /// Content.
+    /// Payload.
     pub payload: Payload,
 }
 
-/// State that must be durable before a voter answers (figure 3.1: currentTerm, votedFor).
+/// State that must be durable before a voter replies (figure 3.1: currentTerm, votedFor).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct HardState {
     /// Latest term seen.
@@ -35,99 +35,100 @@
     pub vote: Option<NodeId>,
 }
 
-/// Position and membership that a snapshot stands for.
+/// Log position and membership that a snapshot covers.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct SnapshotMeta {
-    /// Last entry included.
+    /// Index of the last entry included.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
-    /// Membership in force at that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
 }
 
-/// State machine content up to an index (section 5.1).
+/// Snapshot of the state machine up to an index (section 5.1).
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Snapshot {
-    /// Where it stands.
+    /// Log position and membership covered.
     pub meta: SnapshotMeta,
-    /// Encoded state machine.
+    /// Encoded state of the state machine.
     pub data: Vec<u8>,
 }
 
-/// The answer to an append.
+/// Result of an append.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum AppendResult {
-    /// The follower's log equals the leader's up to this index, durably.
+    /// The follower's log matches the leader's up to this index and is durable up to it.
     Accepted(Index),
-    /// The entry before did not match; try from here (section 3.5, last paragraph).
+    /// The preceding entry did not match. Carries the last index that may match (section 3.5, last
+    /// paragraph).
     Rejected(Index),
 }
 
-/// What a message says.
+/// Body of a message.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum Body {
-    /// Asks for a vote; `pre` asks only whether one would be given (section 9.6).
+    /// Requests a vote. With `pre`, asks only whether one would be granted (section 9.6).
     RequestVote {
         /// True for a pre-vote, which changes no state.
         pre: bool,
-        /// Candidate's last index.
+        /// Index of the candidate's last log entry.
         last_index: Index,
-        /// Candidate's last term.
+        /// Term of the candidate's last log entry.
         last_term: Term,
-        /// True when the old leader asked for this election (section 3.10).
+        /// True if the previous leader requested this election to transfer leadership (section 3.10).
         transfer: bool,
     },
-    /// Answers `RequestVote`.
+    /// Reply to `RequestVote`.
     VoteReply {
-        /// Echoes the request.
+        /// Echo of `pre` in the request.
         pre: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Appends entries, or is a heartbeat when `entries` is empty.
+    /// Appends entries; a heartbeat if `entries` is empty.
     Append {
         /// Index of the entry before `entries`.
         prev_index: Index,
-        /// Its term.
+        /// Term of that entry.
         prev_term: Term,
-        /// Entries to store.
+        /// Entries to append.
         entries: Vec<Entry>,
         /// Leader's commit index.
         commit: Index,
-        /// Leader's heartbeat round, echoed in the answer to confirm reads (section 6.4).
+        /// Leader's heartbeat round, echoed in the reply to confirm reads (section 6.4).
         round: u64,
     },
-    /// Answers `Append` and snapshot chunks.
+    /// Reply to `Append`, and to a `SnapshotChunk` after which no further chunk is requested.
     AppendReply {
-        /// Echo of the round.
+        /// Echo of the heartbeat round.
         round: u64,
-        /// Outcome.
+        /// Result of the append.
         result: AppendResult,
     },
-    /// A piece of a snapshot for a follower whose next entry was compacted (section 5.3).
+    /// A chunk of a snapshot, for a follower whose next entry was compacted (section 5.3).
     SnapshotChunk {
-        /// What the whole stands for.
+        /// Metadata of the whole snapshot.
         meta: SnapshotMeta,
-        /// Position of `data` in the whole, bytes.
+        /// Offset of `data` in the snapshot, in bytes.
         offset: u64,
-        /// Size of the whole, bytes.
+        /// Size of the whole snapshot, in bytes.
         total: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         data: Vec<u8>,
-        /// Heartbeat round.
+        /// Leader's heartbeat round.
         round: u64,
     },
-    /// Asks for the chunk at `next_offset` of the snapshot at `index`.
+    /// Requests the chunk at `next_offset` of the snapshot at `index`.
     SnapshotProgress {
-        /// Snapshot's index.
+        /// Index of the snapshot.
         index: Index,
         /// Bytes received so far.
         next_offset: u64,
-        /// Echo of the round.
+        /// Echo of the heartbeat round.
         round: u64,
     },
-    /// Tells the receiver to start an election at once (section 3.10).
+    /// Tells the receiver to start an election immediately (section 3.10).
     TimeoutNow,
 }
 
@@ -138,11 +139,11 @@
     pub from: NodeId,
     /// Receiver.
     pub to: NodeId,
-    /// Sender's term; a pre-vote carries the term it would campaign in.
+    /// Sender's term. A pre-vote request carries the term of the election it would start.
     pub term: Term,
-    /// Content.
+    /// Body.
     pub body: Body,
 }
 
-/// Snapshots are shared, not copied, between the core and its driver.
+/// A snapshot shared by reference count instead of being copied.
 pub(crate) type SharedSnapshot = Arc<Snapshot>;
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,19 +1,20 @@
-//! What a leader knows of one peer: how far its log matches and what is in flight.
+//! Replication progress of one peer as tracked by the leader: how far the peer's log matches, and
+//! what is in flight.
 
 use crate::Index;
 
-/// How the leader sends to a peer.
+/// How the leader sends entries to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// One append at a time until the match point is known.
+    /// One append at a time, until the last matching index is known.
     Probe,
-    /// Appends are sent ahead of acknowledgements.
+    /// Appends are pipelined without waiting for acknowledgements.
     Replicate,
-    /// A snapshot at `index` is being sent; `offset` bytes were acknowledged.
+    /// The snapshot at `index` is being sent; `offset` bytes of it are acknowledged.
     Snapshot {
-        /// Snapshot's index.
+        /// Index of the snapshot.
         index: Index,
-        /// Next byte to send.
+        /// Offset of the next byte to send.
         offset: u64,
     },
 }
@@ -21,22 +22,22 @@
 /// Replication state of one peer.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Highest index known to equal the leader's.
+    /// Highest index up to which the peer's log is known to match the leader's.
     pub match_index: Index,
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub next_index: Index,
-    /// Sending mode.
+    /// How entries are sent.
     pub mode: Mode,
     /// Highest heartbeat round acknowledged (section 6.4).
     pub acked_round: u64,
-    /// Whether the peer answered since the last quorum check (section 6.2).
+    /// Whether the peer has replied since the last quorum check (section 6.2).
     pub recently_active: bool,
-    /// Whether a probe was sent and not answered.
+    /// Whether a probe was sent that is not yet replied to.
     pub probe_in_flight: bool,
 }
 
 impl Progress {
-    /// A peer of which nothing is known yet.
+    /// Progress of a peer that has not replied yet.
     pub fn new(next_index: Index) -> Self {
         Progress {
             match_index: 0,
@@ -48,14 +49,14 @@
         }
     }
 
-    /// Records that the peer answered a message of heartbeat round `round`.
+    /// Records that the peer replied to a message of heartbeat round `round`.
     pub fn record_reply(&mut self, round: u64) {
         self.recently_active = true;
         self.probe_in_flight = false;
         self.acked_round = self.acked_round.max(round);
     }
 
-    /// Records an acceptance up to `index`.
+    /// Records that the peer accepted entries up to `index`.
     pub fn record_accepted(&mut self, index: Index) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Records a rejection: the peer's log ends at or before `hint`.
+    /// Records a rejected append; the peer's log can match at `hint` or before it, not after it.
+    /// Ignored while a snapshot is being sent.
     pub fn record_rejected(&mut self, hint: Index) {
         if matches!(self.mode, Mode::Snapshot { .. }) {
             return;
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,4 +1,4 @@
-//! The core: roles, terms, and the interface to the driver.
+//! The core state machine: roles, terms, and the interface to the driver.
 
 use crate::log::RaftLog;
 use crate::progress::Progress;
@@ -10,37 +10,37 @@
 use snafu::Snafu;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Mechanisms that can be switched off, only to prove that the checks of the simulator notice.
+/// Safety mechanisms that can be disabled to verify that the simulator's checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weakness {
-    /// A read is answered without asking a quorum.
+    /// Reads are answered without confirmation by a quorum.
     UnconfirmedReads,
     /// An entry of an earlier term is committed by counting replicas (figure 3.7).
     CommitAnyTerm,
     /// A voter may vote again in the same term.
     DoubleVote,
-    /// A leader never notices that it lost its quorum.
+    /// A leader does not step down after losing its quorum.
     NoQuorumCheck,
-    /// A member whose machine slept takes for true what it knew before.
+    /// A member keeps its role and known leader after its machine was asleep.
     KeepsRoleAfterSleep,
 }
 
 /// Fixed parameters of one member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This member.
+    /// Id of this member.
     pub id: NodeId,
-    /// Fewest ticks without a leader before campaigning; the most is twice this.
+    /// Minimum election timeout in ticks; the maximum is twice this.
     pub election_ticks: u32,
     /// Ticks between heartbeats.
     pub heartbeat_ticks: u32,
-    /// Seed of the election timeout's randomness.
+    /// Seed for randomized election timeouts.
     pub seed: u64,
-    /// Broken variant for checker tests; `None` in the product.
+    /// Mechanism to disable in tests of the checks; `None` in production.
     pub weakness: Option<Weakness>,
 }
 
-/// A member's role with the state that only exists in it.
+/// Role of a member, with the state specific to it.
 #[derive(Clone, Debug)]
 pub enum Role {
     /// Follows `leader`, if one is known.
@@ -48,74 +48,74 @@
         /// Leader of the current term.
         leader: Option<NodeId>,
     },
-    /// Asks whether it would be elected.
+    /// Requests pre-votes.
     PreCandidate {
-        /// Grants received.
+        /// Members that granted their pre-vote, this one included.
         votes: BTreeSet<NodeId>,
     },
-    /// Asks to be elected.
+    /// Requests votes.
     Candidate {
-        /// Grants received.
+        /// Members that granted their vote, this one included.
         votes: BTreeSet<NodeId>,
     },
     /// Leads the current term.
     Leader {
-        /// State of every peer.
+        /// Replication progress of each peer.
         peers: BTreeMap<NodeId, Progress>,
     },
 }
 
-/// A confirmed read: the state machine may answer once it applied `index` (section 6.4).
+/// A confirmed read, which may be answered once the state machine has applied `index` (section 6.4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadState {
-    /// The caller's mark.
+    /// Context passed to [`Raft::read_index`].
     pub context: u64,
-    /// Commit index at the time the read began.
+    /// Commit index when the read started.
     pub index: Index,
 }
 
-/// Work for the driver. Order: save, then send, then apply.
+/// Work for the driver, to be done in this order: save, send, apply.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Hard state to save, if it changed.
+    /// Hard state to save, if changed.
     pub hard_state: Option<HardState>,
-    /// Received snapshot to save and to load into the state machine.
+    /// Snapshot received from the leader, to be saved and loaded into the state machine.
     pub snapshot: Option<Snapshot>,
-    /// Entries to save; a first index at or below the stored last cuts the stored tail.
+    /// Entries to save. They replace stored entries from the first index on.
     pub entries: Vec<Entry>,
-    /// Messages to send after saving.
+    /// Messages to send once everything is saved.
     pub messages: Vec<Message>,
-    /// Entries to apply, in order.
+    /// Committed entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be answered.
+    /// Confirmed reads.
     pub reads: Vec<ReadState>,
-    /// Marks of reads that will never be confirmed by this member.
+    /// Contexts of the reads that this member cannot confirm any more.
     pub failed_reads: Vec<u64>,
 }
 
 impl Ready {
-    /// Whether the driver must save before it goes on.
+    /// Whether there is anything that must be saved before sending and applying.
     pub fn must_save(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
 }
 
-/// Why a proposal or read was refused; nothing was appended.
+/// Why a proposal or read was rejected; nothing was appended.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// This member does not lead.
+    /// This member is not the leader.
     #[snafu(display("not the leader; the leader is {leader:?}"))]
     NotLeader {
-        /// Who does, if known.
+        /// The current leader, if known.
         leader: Option<NodeId>,
     },
-    /// The leader is handing over its office, or has not committed in its term yet.
+    /// The leader is transferring its leadership, or has not committed an entry of its term yet.
     #[snafu(display("the leader is not ready"))]
     NotReady,
     /// The membership change is not allowed.
     #[snafu(display("{source}"))]
     Membership {
-        /// Why.
+        /// Why it is not allowed.
         source: MembershipError,
     },
 }
@@ -134,29 +134,35 @@
     pub(crate) ticks_since_heartbeat: u32,
     pub(crate) ticks_since_quorum_check: u32,
     pub(crate) election_deadline: u32,
-    /// Whether no leader was known since the start.
-    pub(crate) is_new: bool,
-    /// Votes asked for in that time.
+    /// Whether no leader has been known since this member started.
+    pub(crate) no_leader_yet: bool,
+    /// Elections started in that time.
     pub(crate) early_campaigns: u32,
-    pub(crate) random: fastrand::Rng,
+    pub(crate) rng: fastrand::Rng,
     pub(crate) round: u64,
     pub(crate) pending_reads: Vec<PendingRead>,
     pub(crate) transfer_to: Option<NodeId>,
-    pub(crate) incoming: Option<Snapshot>,
+    /// Snapshot of which chunks are being received.
+    pub(crate) incoming_snapshot: Option<Snapshot>,
     pub(crate) out: Ready,
     saved_hard_state: HardState,
 }
 
 impl Raft {
-    /// Starts a member from what its storage recovered.
-    pub fn new(config: Config, hard: HardState, snapshot: Snapshot, entries: Vec<Entry>) -> Self {
+    /// Starts a member from its recovered storage.
+    pub fn new(
+        config: Config,
+        hard_state: HardState,
+        snapshot: Snapshot,
+        entries: Vec<Entry>,
+    ) -> Self {
         let log = RaftLog::new(snapshot, entries);
         let (membership, membership_index) = log.membership();
-        let random = fastrand::Rng::with_seed(config.seed ^ config.id.rotate_left(32));
+        let rng = fastrand::Rng::with_seed(config.seed ^ config.id.rotate_left(32));
         let mut raft = Raft {
             config,
-            term: hard.term,
-            vote: hard.vote,
+            term: hard_state.term,
+            vote: hard_state.vote,
             role: Role::Follower { leader: None },
             log,
             membership,
@@ -165,21 +171,21 @@
             ticks_since_heartbeat: 0,
             ticks_since_quorum_check: 0,
             election_deadline: 0,
-            is_new: true,
+            no_leader_yet: true,
             early_campaigns: 0,
-            random,
+            rng,
             round: 0,
             pending_reads: Vec::new(),
             transfer_to: None,
-            incoming: None,
+            incoming_snapshot: None,
             out: Ready::default(),
-            saved_hard_state: hard,
+            saved_hard_state: hard_state,
         };
-        raft.shorten_election();
+        raft.set_short_election_timeout();
         raft
     }
 
-    /// This member's id.
+    /// Id of this member.
     pub fn id(&self) -> NodeId {
         self.config.id
     }
@@ -194,12 +200,12 @@
         &self.log
     }
 
-    /// The membership in force.
+    /// The current membership, which may not be committed yet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Whether this member leads.
+    /// Whether this member is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Term and vote, as they must be saved.
+    /// The current term and vote.
     pub fn hard_state(&self) -> HardState {
         HardState { term: self.term, vote: self.vote }
     }
@@ -223,7 +229,7 @@
         self.round
     }
 
-    /// Replication state of the peers, when leading.
+    /// Replication progress of the peers, if this member is the leader.
     pub fn peers(&self) -> Option<&BTreeMap<NodeId, Progress>> {
         match &self.role {
             Role::Leader { peers } => Some(peers),
@@ -236,31 +242,31 @@
         self.log.term_at(self.log.committed) == Some(self.term)
     }
 
-    /// Appends a command; it is accepted only once it comes back in `Ready::committed`.
+    /// Appends a command. It is committed only once it is returned in `Ready::committed`.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), ProposeError> {
         self.check_can_propose()?;
-        let index = self.append_own(Payload::Command(command));
+        let index = self.append_as_leader(Payload::Command(command));
         Ok((self.term, index))
     }
 
-    /// Appends a new membership after checking it against the one in force.
+    /// Appends a new membership after checking it against the current one.
     pub fn propose_membership(&mut self, next: Membership) -> Result<Index, ProposeError> {
         self.check_can_propose()?;
-        let refuse = |source| Err(ProposeError::Membership { source });
+        let reject = |source| Err(ProposeError::Membership { source });
         if self.membership_index > self.log.committed {
-            return refuse(MembershipError::ChangeInProgress);
+            return reject(MembershipError::ChangeInProgress);
         }
         if !self.committed_in_term() {
             return Err(ProposeError::NotReady);
         }
         if let Err(source) = self.membership.check_change(&next) {
-            return refuse(source);
+            return reject(source);
         }
-        let joining = next.voters.difference(&self.membership.voters).next().copied();
-        if joining.is_some_and(|id| !self.caught_up(id)) {
-            return refuse(MembershipError::LearnerBehind);
+        let new_voter = next.voters.difference(&self.membership.voters).next().copied();
+        if new_voter.is_some_and(|id| !self.caught_up(id)) {
+            return reject(MembershipError::LearnerBehind);
         }
-        Ok(self.append_own(Payload::Membership(next)))
+        Ok(self.append_as_leader(Payload::Membership(next)))
     }
 
     fn caught_up(&self, id: NodeId) -> bool {
@@ -278,7 +284,7 @@
         Ok(())
     }
 
-    pub(crate) fn append_own(&mut self, payload: Payload) -> Index {
+    pub(crate) fn append_as_leader(&mut self, payload: Payload) -> Index {
         let index = self.log.last_index() + 1;
         let entry = Entry { term: self.term, index, payload };
         self.log.append(entry.clone());
@@ -288,7 +294,7 @@
         index
     }
 
-    /// Recomputes the membership after the log changed, and the set of peers if leading.
+    /// Recomputes the membership after the log changed and, on the leader, the set of peers.
     pub(crate) fn refresh_membership(&mut self) {
         let (membership, index) = self.log.membership();
         self.membership = membership;
@@ -304,21 +310,21 @@
         }
     }
 
-    /// Hands over what the driver must do now.
+    /// Takes the pending work for the driver.
     pub fn ready(&mut self) -> Ready {
-        let hard = self.hard_state();
-        if hard != self.saved_hard_state {
-            self.out.hard_state = Some(hard);
-            self.saved_hard_state = hard;
+        let hard_state = self.hard_state();
+        if hard_state != self.saved_hard_state {
+            self.out.hard_state = Some(hard_state);
+            self.saved_hard_state = hard_state;
         }
         self.out.committed = self.log.take_committed();
         std::mem::take(&mut self.out)
     }
 
-    /// Whether `ready` would hand over anything.
+    /// Whether `ready` would return any work.
     pub fn has_ready(&self) -> bool {
-        let hard = self.hard_state();
-        hard != self.saved_hard_state
+        let hard_state = self.hard_state();
+        hard_state != self.saved_hard_state
             || self.out.must_save()
             || !self.out.messages.is_empty()
             || !self.out.reads.is_empty()
@@ -326,7 +332,7 @@
             || self.log.committed.min(self.log.persisted) > self.log.delivered
     }
 
-    /// Tells the core that entries up to `index` are durable on this member.
+    /// Notifies the core that entries up to `index` are durable on this member.
     pub fn on_persisted(&mut self, index: Index) {
         self.log.persisted = self.log.persisted.max(index.min(self.log.last_index()));
         if self.is_leader() {
@@ -334,7 +340,8 @@
         }
     }
 
-    /// Records a snapshot of the state machine so that old entries can be dropped.
+    /// Creates a snapshot at `index` with the encoded state `data` and drops old entries. Returns
+    /// `None` if the entry at `index` is not in the log.
     pub fn compact(&mut self, index: Index, data: Vec<u8>) -> Option<Snapshot> {
         let meta = self.log.meta_at(index)?;
         let snapshot = Snapshot { meta, data };
@@ -347,7 +354,7 @@
         self.out.messages.push(message);
     }
 
-    pub(crate) fn weak(&self, weakness: Weakness) -> bool {
+    pub(crate) fn has_weakness(&self, weakness: Weakness) -> bool {
         self.config.weakness == Some(weakness)
     }
 }
--- a/crates/consensus/src/read_index.rs
+++ b/crates/consensus/src/read_index.rs
@@ -1,28 +1,28 @@
 //! Linearizable reads without writing to the log (section 6.4).
 //!
-//! No clock is involved: a read is confirmed by a heartbeat round that began after the read did,
-//! so a leader that was frozen or cut off can never confirm one.
+//! No clock is involved. A read is confirmed by a heartbeat round that started after the read, so a
+//! leader that was paused or partitioned cannot confirm a stale read.
 
 use crate::raft::{ProposeError, Raft, ReadState, Role, Weakness};
 use crate::Index;
 
-/// A read that waits for its heartbeat round.
+/// A read that waits for the confirmation of its heartbeat round.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
     context: u64,
-    /// `None` until the leader has committed in its term.
+    /// `None` until the leader has committed an entry of its term.
     index: Option<Index>,
     round: u64,
 }
 
 impl Raft {
-    /// Starts a read; its `context` comes back in `Ready::reads` or `Ready::failed_reads`.
+    /// Starts a read. Its `context` is returned in `Ready::reads` or `Ready::failed_reads`.
     pub fn read_index(&mut self, context: u64) -> Result<(), ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader { leader: self.leader() });
         }
         let committed = self.log.committed;
-        if self.weak(Weakness::UnconfirmedReads) {
+        if self.has_weakness(Weakness::UnconfirmedReads) {
             self.out.reads.push(ReadState { context, index: committed });
             return Ok(());
         }
@@ -35,20 +35,21 @@
         Ok(())
     }
 
-    /// Gives reads that came before the first commit of this term their index and round.
-    pub(crate) fn release_waiting_reads(&mut self) {
+    /// Assigns an index and a round to the reads that were started before the first commit of this
+    /// term.
+    pub(crate) fn start_waiting_reads(&mut self) {
         if !self.committed_in_term() {
             return;
         }
         let committed = self.log.committed;
         let next_round = self.round + 1;
-        let mut released = false;
+        let mut started = false;
         for read in self.pending_reads.iter_mut().filter(|read| read.index.is_none()) {
             read.index = Some(committed);
             read.round = next_round;
-            released = true;
+            started = true;
         }
-        if released {
+        if started {
             self.broadcast_heartbeat();
             self.confirm_reads();
         }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,16 +1,16 @@
-//! Log replication, commitment and snapshot transfer (sections 3.5, 3.6 and 5).
+//! Log replication, commit index and snapshot transfer (sections 3.5, 3.6 and 5).
 
 use crate::progress::Mode;
 use crate::raft::{Raft, Role, Weakness};
 use crate::{AppendResult, Body, Entry, Index, NodeId, Snapshot, SnapshotMeta};
 
-/// Most entries in one append message.
+/// Maximum number of entries in an append message.
 const MAX_APPEND_ENTRIES: usize = 256;
-/// Most bytes of entries in one append message.
+/// Maximum size of the entries in an append message, in bytes.
 const MAX_APPEND_BYTES: usize = 512 * 1024;
-/// Entries sent ahead of a peer's acknowledgement before the leader waits.
+/// Maximum number of entries sent to a peer without acknowledgement.
 const MAX_IN_FLIGHT_ENTRIES: u64 = 1024;
-/// Size of one snapshot chunk, bytes.
+/// Size of a snapshot chunk, in bytes.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
 impl Raft {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Starts a new heartbeat round, which also confirms reads that wait for it.
+    /// Starts a new heartbeat round; its replies also confirm pending reads.
     pub(crate) fn broadcast_heartbeat(&mut self) {
         self.round += 1;
         for peer in self.peer_ids() {
@@ -68,8 +68,8 @@
             self.send_snapshot_chunk(peer);
             return;
         }
-        let window = progress.match_index + MAX_IN_FLIGHT_ENTRIES;
-        let window_full = progress.mode == Mode::Replicate && progress.next_index > window;
+        let window_end = progress.match_index + MAX_IN_FLIGHT_ENTRIES;
+        let window_full = progress.mode == Mode::Replicate && progress.next_index > window_end;
         if window_full || progress.probe_in_flight {
             return;
         }
@@ -121,11 +121,11 @@
     pub(crate) fn handle_replication(&mut self, from: NodeId, body: Body) {
         match body {
             Body::Append { prev_index, prev_term, entries, commit, round } => {
-                self.follow(from);
+                self.follow_leader(from);
                 self.on_append(from, prev_index, prev_term, entries, commit, round);
             }
             Body::SnapshotChunk { meta, offset, total, data, round } => {
-                self.follow(from);
+                self.follow_leader(from);
                 self.on_snapshot_chunk(from, meta, offset, total, data, round);
             }
             Body::AppendReply { round, result } => self.on_append_reply(from, round, result),
@@ -136,8 +136,9 @@
         }
     }
 
-    /// A message from the leader of the current term makes every other role follow it.
-    fn follow(&mut self, leader: NodeId) {
+    /// Follows the leader of the current term, whatever the previous role, and resets the election
+    /// timer.
+    fn follow_leader(&mut self, leader: NodeId) {
         if matches!(self.role, Role::Follower { leader: Some(known) } if known == leader) {
             self.ticks_since_leader = 0;
             return;
@@ -155,11 +156,11 @@
         round: u64,
     ) {
         if prev_index < self.log.committed {
-            // Everything up to the commit index equals the leader's already (section 3.6.3).
-            let already = self.log.committed;
-            let later: Vec<Entry> =
-                entries.into_iter().filter(|entry| entry.index > already).collect();
-            self.accept_entries(from, already, later, commit, round);
+            // The log already matches the leader's up to the commit index (section 3.6.3).
+            let committed = self.log.committed;
+            let remaining: Vec<Entry> =
+                entries.into_iter().filter(|entry| entry.index > committed).collect();
+            self.accept_entries(from, committed, remaining, commit, round);
             return;
         }
         if self.log.term_at(prev_index) != Some(prev_term) {
@@ -178,11 +179,11 @@
         round: u64,
     ) {
         let matched = entries.last().map_or(prev_index, |entry| entry.index);
-        let fresh = self.log.merge(entries);
-        if !fresh.is_empty() {
-            let first = fresh[0].index;
+        let new_entries = self.log.merge(entries);
+        if !new_entries.is_empty() {
+            let first = new_entries[0].index;
             self.out.entries.retain(|entry| entry.index < first);
-            self.out.entries.extend(fresh);
+            self.out.entries.extend(new_entries);
             self.refresh_membership();
         }
         self.log.committed = self.log.committed.max(commit.min(matched));
@@ -190,16 +191,16 @@
         self.send(from, Body::AppendReply { round, result });
     }
 
-    /// Answers with the last index that may still match: the end of a shorter log, or the entry
-    /// before the conflicting term (section 3.5, last paragraph).
+    /// Rejects an append with the last index that may match: the last index of a shorter log, or the
+    /// index before the entries of the conflicting term (section 3.5, last paragraph).
     pub(crate) fn reject_append(&mut self, to: NodeId, round: u64, prev_index: Index) {
         let mut hint = prev_index.min(self.log.last_index());
-        let conflicting = self.log.term_at(hint);
-        while hint > self.log.committed && self.log.term_at(hint) == conflicting {
+        let conflicting_term = self.log.term_at(hint);
+        while hint > self.log.committed && self.log.term_at(hint) == conflicting_term {
             hint -= 1;
         }
-        let shorter = self.log.last_index() < prev_index;
-        let hint = if shorter { self.log.last_index() } else { hint };
+        let log_is_shorter = self.log.last_index() < prev_index;
+        let hint = if log_is_shorter { self.log.last_index() } else { hint };
         let result = AppendResult::Rejected(hint);
         self.send(to, Body::AppendReply { round, result });
     }
@@ -217,9 +218,9 @@
         match result {
             AppendResult::Accepted(index) => progress.record_accepted(index),
             AppendResult::Rejected(hint) => {
-                // Late news, or a peer that lost what it had acknowledged. To answer the latter
-                // at once would go on for ever without getting further, so it waits for the
-                // next heartbeat.
+                // A hint below the match index is a delayed reply, or comes from a peer that lost
+                // entries it had acknowledged. An immediate append to such a peer would be rejected
+                // again without end, so the next one is sent with the next heartbeat.
                 lost_entries = hint < progress.match_index;
                 let probe = hint.min(progress.next_index.saturating_sub(2));
                 progress.record_rejected(probe);
@@ -234,10 +235,11 @@
         self.try_finish_transfer(from);
     }
 
-    /// Commits the highest index a majority stores, if it is of this term (section 3.6.2).
+    /// Advances the commit index to the highest index stored by a majority, if that entry is of the
+    /// current term (section 3.6.2).
     pub(crate) fn maybe_commit(&mut self) {
         let id = self.config.id;
-        let own = self.log.persisted;
+        let own_index = self.log.persisted;
         let Role::Leader { peers } = &self.role else {
             return;
         };
@@ -247,7 +249,7 @@
             .iter()
             .map(|voter| match peers.get(voter) {
                 Some(progress) => progress.match_index,
-                None if *voter == id => own,
+                None if *voter == id => own_index,
                 None => 0,
             })
             .collect();
@@ -255,17 +257,19 @@
         let Some(candidate) = matches.get(self.membership.quorum() - 1).copied() else {
             return;
         };
-        let own_term = self.log.term_at(candidate) == Some(self.term);
-        if candidate > self.log.committed && (own_term || self.weak(Weakness::CommitAnyTerm)) {
+        let current_term = self.log.term_at(candidate) == Some(self.term);
+        if candidate > self.log.committed
+            && (current_term || self.has_weakness(Weakness::CommitAnyTerm))
+        {
             self.log.committed = candidate;
-            self.after_commit();
+            self.on_commit_advanced();
         }
     }
 
-    fn after_commit(&mut self) {
-        self.release_waiting_reads();
-        // Followers learn the commit index at once rather than with the next heartbeat, since it
-        // is what lets them answer and what convergence waits for.
+    fn on_commit_advanced(&mut self) {
+        self.start_waiting_reads();
+        // The commit index is sent immediately instead of with the next heartbeat, because followers
+        // need it to answer requests and configuration convergence depends on it.
         self.broadcast_commit();
         let removed = !self.membership.voters.contains(&self.config.id);
         if removed && self.membership_index <= self.log.committed {
@@ -294,26 +298,29 @@
             return;
         }
         let index = meta.index;
-        let same = self.incoming.as_ref().is_some_and(|incoming| incoming.meta == meta);
-        if !same {
-            self.incoming = Some(Snapshot { meta, data: Vec::new() });
+        let same_snapshot = self
+            .incoming_snapshot
+            .as_ref()
+            .is_some_and(|incoming_snapshot| incoming_snapshot.meta == meta);
+        if !same_snapshot {
+            self.incoming_snapshot = Some(Snapshot { meta, data: Vec::new() });
         }
-        let Some(incoming) = &mut self.incoming else {
+        let Some(incoming_snapshot) = &mut self.incoming_snapshot else {
             return;
         };
-        if offset == incoming.data.len() as u64 {
-            incoming.data.extend_from_slice(&data);
+        if offset == incoming_snapshot.data.len() as u64 {
+            incoming_snapshot.data.extend_from_slice(&data);
         }
-        let next_offset = incoming.data.len() as u64;
+        let next_offset = incoming_snapshot.data.len() as u64;
         if next_offset < total {
             self.send(from, Body::SnapshotProgress { index, next_offset, round });
             return;
         }
-        self.install_incoming(from, round);
+        self.install_incoming_snapshot(from, round);
     }
 
-    fn install_incoming(&mut self, from: NodeId, round: u64) {
-        let Some(snapshot) = self.incoming.take() else {
+    fn install_incoming_snapshot(&mut self, from: NodeId, round: u64) {
+        let Some(snapshot) = self.incoming_snapshot.take() else {
             return;
         };
         let index = snapshot.meta.index;
--- a/crates/consensus/tests/network.rs
+++ b/crates/consensus/tests/network.rs
@@ -1,4 +1,4 @@
-//! A network of members in one thread: elections, replication, membership and reads.
+//! Elections, replication, membership changes and reads in a group simulated in one thread.
 
 use consensus::{
     Body, Config, Entry, HardState, Membership, MembershipError, Message, NodeId, Payload,
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const ELECTION_TICKS: u32 = 10;
-/// More than any exchange of messages in these tests needs.
-const MOST_MESSAGES: usize = 5_000;
+/// Limit on the messages delivered at a time, above what any test needs.
+const MAX_MESSAGES: usize = 5_000;
 
 struct Network {
     members: BTreeMap<NodeId, Raft>,
-    cut: BTreeSet<NodeId>,
+    isolated: BTreeSet<NodeId>,
     queue: Vec<Message>,
     applied: BTreeMap<NodeId, Vec<Vec<u8>>>,
     confirmed_reads: Vec<u64>,
@@ -21,10 +21,10 @@
 }
 
 fn empty_member(id: NodeId, membership: &Membership) -> Raft {
-    weak_member(id, membership, None)
+    member_with_weakness(id, membership, None)
 }
 
-fn weak_member(id: NodeId, membership: &Membership, weakness: Option<Weakness>) -> Raft {
+fn member_with_weakness(id: NodeId, membership: &Membership, weakness: Option<Weakness>) -> Raft {
     let config =
         Config { id, election_ticks: ELECTION_TICKS, heartbeat_ticks: 2, seed: 1, weakness };
     let meta = SnapshotMeta { index: 0, term: 0, membership: membership.clone() };
@@ -32,11 +32,11 @@
 }
 
 impl Network {
-    fn of(count: u64) -> Self {
+    fn with_members(count: u64) -> Self {
         let membership = Membership::of_voters(1..=count);
         Network {
             members: (1..=count).map(|id| (id, empty_member(id, &membership))).collect(),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             queue: Vec::new(),
             applied: BTreeMap::new(),
             confirmed_reads: Vec::new(),
@@ -46,7 +46,7 @@
     }
 
     fn with_leader(count: u64) -> (Self, NodeId) {
-        let mut network = Network::of(count);
+        let mut network = Network::with_members(count);
         let leader = network.elect();
         (network, leader)
     }
@@ -56,7 +56,7 @@
             for member in self.members.values_mut() {
                 member.tick();
             }
-            self.settle();
+            self.deliver_messages();
         }
     }
 
@@ -67,34 +67,36 @@
                 return leader;
             }
         }
-        panic!("nobody was elected");
+        panic!("no leader was elected");
     }
 
     fn current_leader(&self) -> Option<NodeId> {
-        let connected = self.members.values().filter(|member| !self.cut.contains(&member.id()));
+        let connected =
+            self.members.values().filter(|member| !self.isolated.contains(&member.id()));
         connected.filter(|member| member.is_leader()).map(Raft::id).next()
     }
 
     fn member(&mut self, id: NodeId) -> &mut Raft {
-        self.members.get_mut(&id).expect("the member is there")
+        self.members.get_mut(&id).expect("the member exists")
     }
 
     fn propose(&mut self, leader: NodeId, command: &str) {
-        self.member(leader).propose(command.as_bytes().to_vec()).expect("it leads");
-        self.settle();
+        self.member(leader).propose(command.as_bytes().to_vec()).expect("the member is the leader");
+        self.deliver_messages();
     }
 
-    /// Delivers messages until there are none, or far too many were delivered.
-    fn settle(&mut self) {
-        let limit = self.delivered + MOST_MESSAGES;
+    /// Delivers messages until none are left or [`MAX_MESSAGES`] were delivered.
+    fn deliver_messages(&mut self) {
+        let limit = self.delivered + MAX_MESSAGES;
         loop {
-            self.collect();
+            self.process_ready();
             if self.queue.is_empty() || self.delivered >= limit {
                 return;
             }
             for message in std::mem::take(&mut self.queue) {
                 self.delivered += 1;
-                let dropped = self.cut.contains(&message.from) || self.cut.contains(&message.to);
+                let dropped =
+                    self.isolated.contains(&message.from) || self.isolated.contains(&message.to);
                 if let (false, Some(member)) = (dropped, self.members.get_mut(&message.to)) {
                     member.step(message);
                 }
@@ -102,7 +104,7 @@
         }
     }
 
-    fn collect(&mut self) {
+    fn process_ready(&mut self) {
         for (id, member) in &mut self.members {
             while member.has_ready() {
                 let ready = member.ready();
@@ -123,7 +125,10 @@
 
     fn applied_by(&self, id: NodeId) -> Vec<String> {
         let commands = self.applied.get(&id).cloned().unwrap_or_default();
-        commands.into_iter().map(|command| String::from_utf8(command).expect("text")).collect()
+        commands
+            .into_iter()
+            .map(|command| String::from_utf8(command).expect("commands are valid UTF-8"))
+            .collect()
     }
 
     fn followers(&self, leader: NodeId) -> Vec<NodeId> {
@@ -147,7 +152,7 @@
 fn a_minority_commits_nothing() {
     let (mut network, leader) = Network::with_leader(5);
     let followers = network.followers(leader);
-    network.cut.extend(&followers[..3]);
+    network.isolated.extend(&followers[..3]);
     network.propose(leader, "lost");
     assert!(network.applied_by(leader).is_empty());
 }
@@ -155,8 +160,8 @@
 #[test]
 fn a_leader_without_a_quorum_steps_down_and_fails_its_reads() {
     let (mut network, leader) = Network::with_leader(3);
-    network.cut.insert(leader);
-    network.member(leader).read_index(7).expect("it still believes to lead");
+    network.isolated.insert(leader);
+    network.member(leader).read_index(7).expect("the isolated member has not stepped down yet");
     network.tick(3 * ELECTION_TICKS);
     assert!(!network.members[&leader].is_leader());
     assert_eq!(network.confirmed_reads, Vec::<u64>::new());
@@ -166,24 +171,24 @@
 #[test]
 fn a_member_that_was_cut_off_does_not_disturb_the_term() {
     let (mut network, leader) = Network::with_leader(3);
-    let apart = network.followers(leader)[0];
+    let isolated_follower = network.followers(leader)[0];
     let term = network.members[&leader].term();
-    network.cut.insert(apart);
+    network.isolated.insert(isolated_follower);
     network.tick(20 * ELECTION_TICKS);
-    network.cut.clear();
+    network.isolated.clear();
     network.tick(2 * ELECTION_TICKS);
-    assert_eq!(network.members[&leader].term(), term, "pre-vote keeps the term");
+    assert_eq!(network.members[&leader].term(), term, "pre-votes must not increase the term");
     assert!(network.members[&leader].is_leader());
 }
 
 #[test]
 fn an_uncommitted_entry_of_a_deposed_leader_gives_way() {
     let (mut network, old) = Network::with_leader(3);
-    network.cut.insert(old);
+    network.isolated.insert(old);
     network.propose(old, "never");
     let new = network.elect();
     network.propose(new, "kept");
-    network.cut.clear();
+    network.isolated.clear();
     network.tick(ELECTION_TICKS);
     for id in 1..=3 {
         assert_eq!(network.applied_by(id), ["kept"]);
@@ -195,7 +200,7 @@
     let (mut network, leader) = Network::with_leader(3);
     let next = network.followers(leader)[0];
     network.member(leader).transfer_leadership(next);
-    network.settle();
+    network.deliver_messages();
     network.tick(1);
     assert_eq!(network.current_leader(), Some(next));
 }
@@ -204,21 +209,21 @@
 fn a_member_far_behind_gets_a_snapshot_in_chunks() {
     const SNAPSHOT_BYTES: usize = 700 * 1024;
     let (mut network, leader) = Network::with_leader(3);
-    let behind = network.followers(leader)[0];
-    network.cut.insert(behind);
-    // More than a leader keeps behind its snapshot.
+    let lagging = network.followers(leader)[0];
+    network.isolated.insert(lagging);
+    // More entries than a leader retains before its snapshot.
     for number in 0..600 {
         network.propose(leader, &number.to_string());
     }
     let index = network.members[&leader].log().last_index();
     let compacted = network.member(leader).compact(index, vec![9; SNAPSHOT_BYTES]);
     assert!(compacted.is_some());
-    network.cut.clear();
+    network.isolated.clear();
     network.tick(2 * ELECTION_TICKS);
     network.propose(leader, "after");
-    let log = network.members[&behind].log();
+    let log = network.members[&lagging].log();
     assert_eq!(log.snapshot().data.len(), SNAPSHOT_BYTES);
-    assert_eq!(network.applied_by(behind).last().map(String::as_str), Some("after"));
+    assert_eq!(network.applied_by(lagging).last().map(String::as_str), Some("after"));
 }
 
 #[test]
@@ -230,14 +235,17 @@
         (Membership::of_voters(1..=4), MembershipError::NotALearner),
     ];
     for (next, expected) in cases {
-        let refused = network.member(leader).propose_membership(next);
-        assert_eq!(refused, Err(ProposeError::Membership { source: expected }));
+        let rejected = network.member(leader).propose_membership(next);
+        assert_eq!(rejected, Err(ProposeError::Membership { source: expected }));
     }
-    let apart = network.followers(leader);
-    network.cut.extend(&apart);
+    let followers = network.followers(leader);
+    network.isolated.extend(&followers);
     let mut with_learner = Membership::of_voters(1..=3);
     with_learner.learners.insert(4);
-    network.member(leader).propose_membership(with_learner.clone()).expect("it is allowed");
+    network
+        .member(leader)
+        .propose_membership(with_learner.clone())
+        .expect("adding a learner is allowed");
     let second = network.member(leader).propose_membership(Membership::of_voters(1..=2));
     let source = MembershipError::ChangeInProgress;
     assert_eq!(second, Err(ProposeError::Membership { source }));
@@ -249,20 +257,21 @@
     network.propose(leader, "before");
     let mut next = Membership::of_voters(1..=3);
     next.learners.insert(4);
-    network.member(leader).propose_membership(next).expect("a learner may join");
-    network.settle();
+    network.member(leader).propose_membership(next).expect("adding a learner is allowed");
+    network.deliver_messages();
     let early = network.member(leader).propose_membership(Membership::of_voters(1..=4));
     let source = MembershipError::LearnerBehind;
     assert_eq!(early, Err(ProposeError::Membership { source }));
     network.members.insert(4, empty_member(4, &Membership::default()));
     network.tick(ELECTION_TICKS);
     network.member(leader).propose_membership(Membership::of_voters(1..=4)).expect("caught up");
-    network.settle();
+    network.deliver_messages();
     assert_eq!(network.applied_by(4), ["before"]);
 }
 
-/// A peer that lost what it had acknowledged rejects everything. Before the leader made it wait
-/// for the next heartbeat, the two of them exchanged messages without end.
+/// Guards against an endless exchange of messages with a peer that lost entries it had acknowledged.
+/// Such a peer rejects every append, and the leader used to reply to each rejection immediately
+/// instead of waiting for the next heartbeat.
 #[test]
 fn a_peer_that_lost_acknowledged_entries_is_not_answered_without_end() {
     let (mut network, leader) = Network::with_leader(3);
@@ -278,11 +287,11 @@
 
 #[test]
 fn members_that_start_together_elect_early() {
-    for seed_member in 3..6 {
-        let mut network = Network::of(seed_member);
-        // Half of the shortest election timeout, and the messages of two votes.
+    for count in 3..6 {
+        let mut network = Network::with_members(count);
+        // Half of the minimum election timeout, plus a tick for the messages of both votes.
         network.tick(ELECTION_TICKS / 2 + 1);
-        assert!(network.current_leader().is_some(), "{seed_member} members");
+        assert!(network.current_leader().is_some(), "{count} members");
     }
 }
 
@@ -302,7 +311,8 @@
 fn members_that_start_apart_elect_soon_after_most_are_there() {
     let membership = Membership::of_voters(1..=3);
     for alone_ticks in [ELECTION_TICKS / 2, ELECTION_TICKS, 4 * ELECTION_TICKS] {
-        // Only the first has the newest entry, so none but it can win; it asks in vain for a while.
+        // Only the first member has the newest entry, so only it can be elected. Its elections fail
+        // while it is alone.
         let config = Config {
             id: 1,
             election_ticks: ELECTION_TICKS,
@@ -314,7 +324,7 @@
         let hard = HardState { term: 1, ..HardState::default() };
         let newest = vec![Entry { index: 1, term: 1, payload: Payload::Noop }];
         let first = Raft::new(config, hard, Snapshot { meta, data: Vec::new() }, newest);
-        let mut network = Network::of(3);
+        let mut network = Network::with_members(3);
         network.members = BTreeMap::from([(1, first)]);
         network.tick(alone_ticks);
         network.members.insert(2, empty_member(2, &membership));
@@ -323,27 +333,28 @@
     }
 }
 
-/// Ticks until a member that just asked for votes in vain asks again, for each of its first ones.
+/// Starts a member whose elections all end in split votes, and returns the ticks before each of its
+/// first `times` elections.
 fn ticks_between_split_votes(times: usize) -> Vec<u32> {
     let mut member = empty_member(1, &Membership::of_voters(1..=3));
     let mut ticks = Vec::new();
-    let mut waited = 0;
+    let mut waited_ticks = 0;
     while ticks.len() < times {
         member.tick();
-        waited += 1;
+        waited_ticks += 1;
         while member.has_ready() {
             let ready = member.ready();
-            let asked = ready.messages.iter().find(|message| message.to == 2);
-            let Some(Message { term, body: Body::RequestVote { pre, .. }, .. }) = asked else {
+            let request = ready.messages.iter().find(|message| message.to == 2);
+            let Some(Message { term, body: Body::RequestVote { pre, .. }, .. }) = request else {
                 continue;
             };
             if *pre {
-                // The other grants the pre-vote, and then votes for itself.
+                // The other member grants the pre-vote, and then votes for itself.
                 let body = Body::VoteReply { pre: true, granted: true };
                 member.step(Message { from: 2, to: 1, term: *term, body });
             } else {
-                ticks.push(waited);
-                waited = 0;
+                ticks.push(waited_ticks);
+                waited_ticks = 0;
             }
         }
     }
@@ -354,40 +365,41 @@
 fn split_votes_are_asked_for_again_early_a_few_times() {
     let ticks = ticks_between_split_votes(8);
     let (early, late) = ticks.split_at(4);
-    assert!(early.iter().all(|waited| *waited <= ELECTION_TICKS / 2), "{ticks:?}");
-    assert!(late.iter().all(|waited| *waited >= ELECTION_TICKS), "{ticks:?}");
+    assert!(early.iter().all(|waited_ticks| *waited_ticks <= ELECTION_TICKS / 2), "{ticks:?}");
+    assert!(late.iter().all(|waited_ticks| *waited_ticks >= ELECTION_TICKS), "{ticks:?}");
 }
 
-/// A leader sleeps while the others elect another; what it says of itself once it is awake, before
-/// it hears of anybody, and after.
+/// Suspends a leader while the other members elect a new one. Returns whether it is still a leader
+/// and which leader it knows after it resumes, before any message reaches it, and the commands that
+/// it has applied in the end.
 fn leader_that_slept(weakness: Option<Weakness>) -> (bool, Option<NodeId>, Vec<String>) {
     let membership = Membership::of_voters(1..=3);
-    let mut network = Network::of(3);
+    let mut network = Network::with_members(3);
     for id in 1..=3 {
-        network.members.insert(id, weak_member(id, &membership, weakness));
+        network.members.insert(id, member_with_weakness(id, &membership, weakness));
     }
     let leader = network.elect();
     network.propose(leader, "before");
-    // Nothing reaches it, and no tick passes.
-    let mut asleep = network.members.remove(&leader).expect("it is there");
+    // A suspended member receives no messages and no ticks.
+    let mut asleep = network.members.remove(&leader).expect("the leader is a member");
     let next = network.elect();
     network.propose(next, "meanwhile");
     if weakness != Some(Weakness::KeepsRoleAfterSleep) {
-        assert!(asleep.is_leader(), "as it knows it");
+        assert!(asleep.is_leader(), "it has not noticed the new leader");
     }
     asleep.note_sleep();
-    let (leads, known) = (asleep.is_leader(), asleep.leader());
+    let (is_leader, known_leader) = (asleep.is_leader(), asleep.leader());
     network.members.insert(leader, asleep);
     network.tick(3 * ELECTION_TICKS);
-    (leads, known, network.applied_by(leader))
+    (is_leader, known_leader, network.applied_by(leader))
 }
 
 #[test]
 fn a_member_that_slept_knows_no_leader_until_it_hears_of_one() {
     let after = vec!["before".to_owned(), "meanwhile".to_owned()];
     assert_eq!(leader_that_slept(None), (false, None, after));
-    let (leads, known, _) = leader_that_slept(Some(Weakness::KeepsRoleAfterSleep));
-    assert!(leads && known.is_some(), "the broken variant is noticed");
+    let (is_leader, known_leader, _) = leader_that_slept(Some(Weakness::KeepsRoleAfterSleep));
+    assert!(is_leader && known_leader.is_some(), "the test must detect the disabled mechanism");
 }
 
 #[test]
