--- a/crates/rollout/src/advance.rs
+++ b/crates/rollout/src/advance.rs
@@ -1,11 +1,11 @@
-//! The rule that advances a rollout by itself.
+//! Automatic advancing of rollouts.
 
 use crate::{Command, ConfigMachine, SpreadSummary};
 
-/// Remembers since when the current stage has been healthy.
+/// Advances a rollout once its stages have been healthy for long enough.
 #[derive(Clone, Debug, Default)]
 pub struct Advancer {
-    healthy_since: Option<HealthyStage>,
+    healthy_stage: Option<HealthyStage>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,16 +16,17 @@
 }
 
 impl Advancer {
-    /// Returns the command to propose when the stage was applied by all reachable proxies in it,
-    /// without an error, for the time the rollout asks for.
+    /// Returns the command to propose once all reachable proxies in the reached stages have had the
+    /// generation applied without errors for the time configured in the rollout. A silent relay, or
+    /// the absence of relays, counts as unhealthy.
     pub fn tick(
         &mut self,
         now_ms: u64,
         machine: &ConfigMachine,
         spread: &SpreadSummary,
     ) -> Option<Command> {
-        let Some((generation, stage, seconds)) = machine.self_advancing() else {
-            self.healthy_since = None;
+        let Some((generation, stage, seconds)) = machine.automatic_advance() else {
+            self.healthy_stage = None;
             return None;
         };
         let healthy = spread.errors == 0
@@ -33,15 +34,16 @@
             && spread.relays > 0
             && spread.staged == spread.staged_applied;
         if !healthy {
-            self.healthy_since = None;
+            self.healthy_stage = None;
             return None;
         }
         let current = self
-            .healthy_since
-            .filter(|held| held.generation == generation && held.stage == stage)
+            .healthy_stage
+            .filter(|previous| previous.generation == generation && previous.stage == stage)
             .unwrap_or(HealthyStage { generation, stage, since_ms: now_ms });
-        self.healthy_since = Some(current);
-        let waited = now_ms.saturating_sub(current.since_ms) >= u64::from(seconds) * 1_000;
-        waited.then_some(Command::Advance { generation, from_stage: stage })
+        self.healthy_stage = Some(current);
+        let healthy_long_enough =
+            now_ms.saturating_sub(current.since_ms) >= u64::from(seconds) * 1_000;
+        healthy_long_enough.then_some(Command::Advance { generation, from_stage: stage })
     }
 }
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,4 +1,4 @@
-//! The operators' verbs, their answers and their refusals.
+//! Operators' commands, with their results and the reasons why they are refused.
 
 use crate::Stage;
 use bundle::{BundleUpdate, Digest};
@@ -8,357 +8,361 @@
 use speedy::{Readable, Writable};
 use verdict::Verdict;
 
-/// Name under which control itself advances a rollout.
+/// Operator name under which the control process advances rollouts and canaries.
 pub const CONTROL_OPERATOR: &str = "control";
 
-/// One verb.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
     /// Stores a bundle under a version number.
     Submit {
-        /// The operators' own number for it.
+        /// Version number chosen by the operators.
         version: u64,
-        /// zstd frame over the encoded bundle.
+        /// Encoded bundle, compressed as a zstd frame.
         compressed: Vec<u8>,
     },
-    /// Signs a bundle off.
+    /// Approves a bundle.
     Approve {
-        /// The bundle.
+        /// Digest of the bundle.
         digest: Digest,
         /// Ed25519 signature over the approval message.
         signature: Vec<u8>,
     },
-    /// Begins to roll an approved bundle out as a new generation.
+    /// Starts to roll out an approved bundle as a new generation.
     Roll {
-        /// The bundle.
+        /// Digest of the bundle.
         digest: Digest,
-        /// The newest generation the operator knows of; refused if there is a newer one.
+        /// The newest generation known to the operator; refused if there is a newer one.
         expected_generation: u64,
-        /// Stages, in order; the last must be `All`.
+        /// Stages in order; the last one must be `All`.
         stages: Vec<Stage>,
-        /// Advance by itself once all reachable proxies of the stage have applied without error
-        /// for this long, seconds; `None`: only by an operator.
+        /// Advances automatically once all reachable proxies of the reached stages have had the
+        /// generation applied without errors for this long, in seconds. `None` if only an operator
+        /// advances the rollout.
         advance_after_s: Option<u32>,
     },
-    /// Goes on to the next stage.
+    /// Advances a rollout to the next stage.
     Advance {
         /// The generation being rolled out.
         generation: u64,
         /// Number of stages reached so far.
         from_stage: u32,
     },
-    /// Stops advancing by itself.
+    /// Pauses automatic advancing.
     Pause {
         /// The generation being rolled out.
         generation: u64,
     },
-    /// Advances by itself again.
+    /// Resumes automatic advancing.
     Resume {
         /// The generation being rolled out.
         generation: u64,
     },
-    /// Names the source whose replacements arrive signed off; see [`ApprovalPolicy`].
+    /// Sets the approval policy.
     SetApprovalPolicy {
-        /// The policy from now on.
+        /// The new policy.
         policy: ApprovalPolicy,
     },
-    /// Submits, signs off and rolls a version out to all proxies at once, in one commit; only for
-    /// a trusted source.
+    /// Submits a version, approves it and rolls it out to all proxies at once, in one commit. Only a
+    /// trusted source may do this.
     Replace {
-        /// The version the operator builds on; 0 for the first.
+        /// The version that the update is based on; 0 for the first one.
         expected_version: u64,
-        /// The new version, above the current one.
+        /// The new version; must be greater than the current one.
         version: u64,
-        /// Digest of the whole new content.
+        /// Digest of the complete new content.
         digest: Digest,
-        /// What turns the content of the expected version into the new one.
+        /// Update from the content of the expected version to the new content.
         update: BundleUpdate,
     },
-    /// Makes a new generation with earlier content, for all proxies at once.
+    /// Creates a new generation with earlier content, for all proxies at once.
     Withdraw {
-        /// The newest generation the operator knows of.
+        /// The newest generation known to the operator; refused if there is a newer one.
         expected_generation: u64,
-        /// The content to return to; `None`: what the withdrawn generation replaced.
+        /// Digest of the content to return to. `None` selects the content that the withdrawn
+        /// generation replaced.
         to: Option<Digest>,
     },
-    /// Begins to move the calls of a service to another version of its upstreams.
+    /// Starts to move the calls of a service to another version of its upstreams.
     StartCanary {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The version.
+        /// The version to move to.
         version: String,
-        /// Time within which it should have taken over, milliseconds.
+        /// Time within which the version should receive all calls, in milliseconds.
         duration_ms: u64,
     },
-    /// Takes a canary to its next phase.
+    /// Moves a canary to a later phase.
     MoveCanary {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Which canary.
+        /// Identifies the canary.
         run: u64,
-        /// The phase it is in.
+        /// The current phase.
         from: Phase,
-        /// The next phase.
+        /// The new phase.
         to: Phase,
-        /// Time since it began, milliseconds: clocks of later leaders go on from here.
+        /// Time since the canary started, in milliseconds. Later leaders continue to count from this
+        /// value.
         elapsed_ms: u64,
-        /// Versions that get no more calls once the new one has taken over.
+        /// Versions that receive no more calls once the new one is promoted.
         replaced: Vec<String>,
     },
-    /// Gives the upstreams of a zone no more calls.
+    /// Stops sending calls to the upstreams of a zone.
     EvacuateZone {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// When it was ordered, Unix milliseconds.
+        /// Time of the command, in Unix milliseconds.
         ordered_ms: u64,
     },
-    /// Gives the upstreams of an evacuated zone calls again.
+    /// Resumes sending calls to the upstreams of an evacuated zone.
     RestoreZone {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
 }
 
-/// Who signs versions off.
+/// Who approves versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ApprovalPolicy {
     /// An operator other than the submitter.
     #[default]
     SecondOperator,
-    /// The sign-off happened before: what this principal sends counts as approved by it.
+    /// Versions are approved before they are sent: what this principal sends counts as approved by
+    /// it.
     TrustedSource {
         /// Name of the principal.
         principal: String,
     },
 }
 
-/// A verb with who sent it and the id that makes a resend harmless.
+/// A command with its sender and an id for deduplication.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Request {
-    /// Who.
+    /// Name of the sender.
     pub operator: String,
-    /// Chosen by the operator's machine; a resend carries the same.
+    /// Id chosen by the client; a resend carries the same id, so that it is not executed twice.
     pub request_id: String,
-    /// What.
+    /// The command.
     pub command: Command,
 }
 
-/// What was done.
+/// Result of an executed command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case")]
 pub enum Accepted {
     /// The bundle is stored.
     Submitted {
-        /// Its version.
+        /// Version of the bundle.
         version: u64,
-        /// Its digest.
+        /// Digest of the bundle.
         digest: Digest,
     },
     /// The bundle may be rolled out.
     Approved {
-        /// Its digest.
+        /// Digest of the bundle.
         digest: Digest,
     },
-    /// The rollout began.
+    /// The rollout has started.
     Rolled {
         /// The new generation.
         generation: u64,
     },
-    /// The rollout reached another stage.
+    /// The rollout has reached another stage.
     Advanced {
-        /// The generation.
+        /// The generation being rolled out.
         generation: u64,
-        /// Stages reached.
+        /// Number of stages reached.
         stages: u32,
-        /// Whether that was the last.
+        /// Whether the last stage is reached.
         complete: bool,
     },
-    /// The rollout waits for an operator.
+    /// The rollout no longer advances automatically.
     Paused {
-        /// The generation.
+        /// The generation being rolled out.
         generation: u64,
     },
-    /// The rollout goes on by itself.
+    /// The rollout may advance automatically again.
     Resumed {
-        /// The generation.
+        /// The generation being rolled out.
         generation: u64,
     },
-    /// The policy is in force.
+    /// The approval policy is set.
     PolicySet,
-    /// The version is in force for all proxies.
+    /// The version is the target of all proxies.
     Replaced {
-        /// The operators' number.
+        /// Version number chosen by the operators.
         version: u64,
-        /// The generation that holds it.
+        /// The generation created for it.
         generation: u64,
     },
-    /// Earlier content returns under a new generation.
+    /// Earlier content is rolled out again as a new generation.
     Withdrawn {
         /// The new generation.
         generation: u64,
-        /// Its content.
+        /// Digest of its content.
         digest: Digest,
     },
-    /// The canary is under way, or has ended already.
+    /// The canary is running, or has already ended.
     CanaryStarted {
-        /// Names this canary.
+        /// Identifies the canary.
         run: u64,
     },
-    /// The canary is in its next phase.
+    /// The canary has moved to a later phase.
     CanaryMoved {
-        /// Which.
+        /// Identifies the canary.
         run: u64,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
     },
-    /// The upstreams of the zone get no more calls.
+    /// The upstreams of the zone receive no more calls.
     ZoneEvacuated {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
-    /// The upstreams of the zone get calls.
+    /// The upstreams of the zone receive calls.
     ZoneRestored {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
 }
 
-/// Why nothing was done. Every refusal is [`Verdict::NotRun`].
+/// Why a command was refused. The verdict of every refusal is [`Verdict::NotRun`].
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 #[snafu(visibility(pub(crate)))]
 pub enum Refusal {
-    /// A zone cannot be evacuated.
+    /// The zone cannot be evacuated.
     #[snafu(display("{reason}"))]
     BadZone {
-        /// Why.
+        /// Reason as text.
         reason: String,
     },
-    /// Another bundle holds this version number.
+    /// The version number is taken by another bundle.
     #[snafu(display("version {version} was submitted by {winner} with digest {winner_digest}"))]
     VersionConflict {
-        /// The number.
+        /// The version number.
         version: u64,
-        /// Who submitted first.
+        /// Operator who submitted the other bundle.
         winner: String,
-        /// What they submitted.
+        /// Digest of the other bundle.
         winner_digest: Digest,
     },
-    /// The bundle breaks a rule.
+    /// The bundle is not valid.
     #[snafu(display("the bundle is not valid: {problem}"))]
     InvalidBundle {
-        /// The first problem.
+        /// The first problem found.
         problem: String,
     },
-    /// No such bundle.
+    /// No bundle with this digest is stored.
     #[snafu(display("no bundle {digest} is stored"))]
     UnknownBundle {
-        /// What was asked for.
+        /// The requested digest.
         digest: Digest,
     },
-    /// The submitter tried to approve their own bundle.
+    /// The submitter of a bundle tried to approve it.
     #[snafu(display("{operator} submitted this bundle; another operator must approve it"))]
     SelfApproval {
-        /// Who.
+        /// Operator who sent the command.
         operator: String,
     },
-    /// The bundle is not signed off.
+    /// The bundle is not approved.
     #[snafu(display("bundle {digest} is not approved"))]
     NotApproved {
-        /// Which.
+        /// Digest of the bundle.
         digest: Digest,
     },
-    /// There is a newer generation than the operator knew of.
+    /// There is a newer generation than the operator expected.
     #[snafu(display("generation {current} by {winner} is newer than the expected {expected}"))]
     GenerationConflict {
-        /// What the operator built on.
+        /// The generation expected by the operator.
         expected: u64,
         /// The newest generation.
         current: u64,
-        /// Who made it.
+        /// Operator who created it.
         winner: String,
     },
-    /// Another rollout must end or be withdrawn first.
+    /// Another rollout must complete or be withdrawn first.
     #[snafu(display("generation {generation} is still being rolled out"))]
     RolloutInProgress {
-        /// Which.
+        /// The generation being rolled out.
         generation: u64,
     },
-    /// No rollout of that generation at that stage.
-    #[snafu(display("no rollout of generation {generation} waits at that stage"))]
+    /// No rollout of the generation is at the given stage.
+    #[snafu(display("no rollout of generation {generation} is at that stage"))]
     NoSuchRollout {
-        /// What was named.
+        /// The generation in the command.
         generation: u64,
     },
-    /// The list of stages is not usable.
+    /// The list of stages is not valid.
     #[snafu(display("{reason}"))]
     BadStages {
-        /// Why.
+        /// Reason as text.
         reason: String,
     },
     /// The operator is not the trusted source.
     #[snafu(display("{operator} is not a trusted source"))]
     NotTrusted {
-        /// Who.
+        /// Operator who sent the command.
         operator: String,
     },
-    /// Another version is current than the operator built on.
+    /// The current version is not the one that the update is based on.
     #[snafu(display("version {current} is current, not {expected}"))]
     VersionChanged {
-        /// What the operator built on.
+        /// The version that the update is based on.
         expected: u64,
         /// The current version.
         current: u64,
     },
-    /// The new version is not above the current one.
+    /// The new version is not greater than the current one.
     #[snafu(display("version {version} is not above the current {current}"))]
     VersionNotAbove {
-        /// What was sent.
+        /// The version in the command.
         version: u64,
         /// The current version.
         current: u64,
     },
-    /// There is no earlier content.
-    #[snafu(display("there is nothing to return to"))]
+    /// There is no earlier content to return to.
+    #[snafu(display("there is no earlier configuration to return to"))]
     NothingToWithdraw,
-    /// The request id was used for another command.
+    /// The request id was already used for another command.
     #[snafu(display("request id '{request_id}' was used for another command"))]
     RequestIdReused {
-        /// The id.
+        /// The request id.
         request_id: String,
     },
     /// Another canary of the service must end first.
     #[snafu(display("a canary of {service} to {version} is under way"))]
     CanaryUnderWay {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Its version.
+        /// Version of the running canary.
         version: String,
     },
-    /// The canary cannot be begun.
+    /// The canary cannot be started.
     #[snafu(display("{reason}"))]
     BadCanary {
-        /// Why.
+        /// Reason as text.
         reason: String,
     },
-    /// No canary in that phase.
+    /// No such canary is in the given phase.
     #[snafu(display("no canary {run} of {service} is in that phase"))]
     NoSuchCanary {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// What was named.
+        /// The canary in the command.
         run: u64,
     },
 }
 
 impl Refusal {
-    /// A refused command changed nothing.
+    /// The verdict of the refusal: a refused command is never executed.
     pub fn verdict(&self) -> Verdict {
         Verdict::NotRun
     }
 }
 
-/// Outcome of a request, recorded for resends.
+/// Result of a request, recorded so that a resend receives the same result.
 pub type Answer = Result<Accepted, Refusal>;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which version of the configuration each proxy shall have.
+//! Assignment of configuration generations to proxies.
 //!
-//! [`ConfigMachine`] is the replicated state machine behind the operators' verbs; every decision
-//! is a pure function of the committed log. [`TargetView`] is the part relays need, and
-//! [`FleetSpread`] gathers how far each generation has spread.
+//! [`ConfigMachine`] is the replicated state machine that executes the operators' commands; its state
+//! is a pure function of the committed log. [`TargetView`] is the part of it that relays need, and
+//! [`FleetSpread`] aggregates how many proxies have applied each generation.
 #![forbid(unsafe_code)]
 
 mod advance;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine of bundles, approvals and rollouts.
+//! The replicated state machine of bundles, approvals, rollouts, canaries and evacuations.
 
 mod canaries;
 mod evacuations;
@@ -29,35 +29,36 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bundles kept for deltas and withdrawal, besides those in use.
+/// Maximum number of bundles retained for deltas and withdrawals. Bundles in use are never evicted.
 const RETAINED_BUNDLES: usize = 64;
-/// Bundles kept by a fleet whose versions replace each other.
+/// Maximum number of bundles retained after a replacement.
 const RETAINED_REPLACEMENTS: usize = 4;
-/// Version numbers remembered, so that one is not taken twice.
+/// Maximum number of version numbers retained, so that none is taken twice.
 const RETAINED_VERSIONS: usize = 16_384;
-/// Generations kept for `list`.
+/// Maximum number of generations retained in the history.
 const RETAINED_GENERATIONS: usize = 1024;
-/// Answers kept for resends.
+/// Maximum number of answers retained for resends.
 const RETAINED_ANSWERS: usize = 4096;
 
-/// Mechanisms that can be switched off, only to prove that the checks notice.
+/// Safety mechanisms that can be disabled to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutWeakness {
     /// A resent request is executed again.
     ForgetsAnswers,
     /// A version number can be taken by a second bundle.
     AcceptsVersionTwice,
-    /// A withdrawal returns to the earlier generation's number.
+    /// A withdrawal reuses the number of the generation in force instead of a new one.
     ReusesGeneration,
-    /// A replacement is taken whatever version it builds on.
+    /// A replacement is accepted whatever version it is based on.
     IgnoresExpectedVersion,
 }
 
-/// State of the configuration, rebuilt identically by every replica.
+/// State of the configuration, identical on every replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigMachine {
     revision: u64,
     bundles: BTreeMap<Digest, StoredBundle>,
+    /// Digests of `bundles`, oldest first.
     bundle_order: VecDeque<Digest>,
     versions: BTreeMap<u64, VersionClaim>,
     base: GenerationTarget,
@@ -94,19 +95,19 @@
 }
 
 impl ConfigMachine {
-    /// Switches a mechanism off for checker tests.
+    /// Disables a mechanism, for tests of the checks.
     pub fn weaken(&mut self, weakness: RolloutWeakness) {
         self.weakness = Some(weakness);
     }
 
-    /// Applies the committed request at log position `index`.
+    /// Applies the committed request at log index `index`.
     pub fn apply(&mut self, index: u64, request: &Request) -> Answer {
         if is_idempotent(&request.command) {
             return self.execute(index, request);
         }
         let command_digest = command_digest(&request.command);
-        let recorded = self.recorded(request);
-        let recorded = recorded.filter(|_| !self.is_weak(RolloutWeakness::ForgetsAnswers));
+        let recorded = self.recorded_answer(request);
+        let recorded = recorded.filter(|_| !self.has_weakness(RolloutWeakness::ForgetsAnswers));
         if let Some(recorded) = recorded {
             let reused = recorded.command_digest != command_digest;
             let request_id = &request.request_id;
@@ -114,21 +115,21 @@
             return recorded.answer.clone();
         }
         let answer = self.execute(index, request);
-        self.record(request, command_digest, answer.clone());
+        self.record_answer(request, command_digest, answer.clone());
         answer
     }
 
-    fn is_weak(&self, weakness: RolloutWeakness) -> bool {
+    fn has_weakness(&self, weakness: RolloutWeakness) -> bool {
         self.weakness == Some(weakness)
     }
 
-    fn recorded(&self, request: &Request) -> Option<&RecordedAnswer> {
+    fn recorded_answer(&self, request: &Request) -> Option<&RecordedAnswer> {
         self.answers.iter().rev().find(|answer| {
             answer.request_id == request.request_id && answer.operator == request.operator
         })
     }
 
-    fn record(&mut self, request: &Request, command_digest: Digest, answer: Answer) {
+    fn record_answer(&mut self, request: &Request, command_digest: Digest, answer: Answer) {
         self.answers.push_back(RecordedAnswer {
             operator: request.operator.clone(),
             request_id: request.request_id.clone(),
@@ -196,12 +197,14 @@
     fn submit(&mut self, operator: &str, version: u64, compressed: &[u8]) -> Answer {
         let bundle = decode_submission(compressed)?;
         let digest = bundle.digest();
-        let held = self.versions.get(&version);
-        if let Some(held) = held.filter(|_| !self.is_weak(RolloutWeakness::AcceptsVersionTwice)) {
-            if held.digest == digest {
+        let claim = self.versions.get(&version);
+        if let Some(claim) =
+            claim.filter(|_| !self.has_weakness(RolloutWeakness::AcceptsVersionTwice))
+        {
+            if claim.digest == digest {
                 return Ok(Accepted::Submitted { version, digest });
             }
-            let (winner, winner_digest) = (&held.submitter, held.digest);
+            let (winner, winner_digest) = (&claim.submitter, claim.digest);
             return VersionConflictSnafu { version, winner, winner_digest }.fail();
         }
         let submitter = operator.to_owned();
@@ -229,16 +232,16 @@
     ) -> Answer {
         self.check_trusted(operator)?;
         let digest = *digest;
-        if let Some(taken) = self.versions.get(&version).filter(|held| held.digest == digest) {
-            let generation = taken.generation;
+        if let Some(claim) = self.versions.get(&version).filter(|claim| claim.digest == digest) {
+            let generation = claim.generation;
             return Ok(Accepted::Replaced { version, generation });
         }
         let current = self.current_version;
-        let weak = self.is_weak(RolloutWeakness::IgnoresExpectedVersion);
-        ensure!(expected == current || weak, VersionChangedSnafu { expected, current });
+        let ignore_expected = self.has_weakness(RolloutWeakness::IgnoresExpectedVersion);
+        ensure!(expected == current || ignore_expected, VersionChangedSnafu { expected, current });
         ensure!(version > current, VersionNotAboveSnafu { version, current });
-        let nothing = Bundle::default();
-        let base = self.bundles.get(&self.base.digest).map_or(&nothing, |held| &held.bundle);
+        let empty = Bundle::default();
+        let base = self.bundles.get(&self.base.digest).map_or(&empty, |stored| &stored.bundle);
         let bundle = apply_replacement(base, update, digest)?;
         let approval = Approval { operator: operator.to_owned(), signature: Vec::new() };
         let generation = self.next_generation(index, operator, digest, GenerationKind::Replaced);
@@ -270,9 +273,9 @@
         self.evict_bundles_beyond(RETAINED_BUNDLES);
     }
 
-    fn evict_bundles_beyond(&mut self, most: usize) {
+    fn evict_bundles_beyond(&mut self, max_bundles: usize) {
         let in_use: Vec<Digest> = self.view().targets().map(|target| target.digest).collect();
-        while self.bundle_order.len() > most {
+        while self.bundle_order.len() > max_bundles {
             let Some(position) =
                 self.bundle_order.iter().position(|digest| !in_use.contains(digest))
             else {
@@ -320,7 +323,8 @@
         let generation = self.next_generation(index, operator, digest, GenerationKind::Rolled);
         let target = GenerationTarget { generation, digest, approval: Some(approval) };
         let stages = stages.to_vec();
-        self.rollout = Some(Rollout { target, stages, reached: 1, advance_after_s, paused: false });
+        self.rollout =
+            Some(Rollout { target, stages, stages_reached: 1, advance_after_s, paused: false });
         self.finish_if_complete();
         Ok(Accepted::Rolled { generation })
     }
@@ -356,18 +360,18 @@
 
     fn advance(&mut self, index: u64, generation: u64, from_stage: u32) -> Answer {
         let rollout = self.rollout_of(generation)?;
-        ensure!(rollout.reached == from_stage, NoSuchRolloutSnafu { generation });
-        rollout.reached += 1;
-        let stages = rollout.reached;
+        ensure!(rollout.stages_reached == from_stage, NoSuchRolloutSnafu { generation });
+        rollout.stages_reached += 1;
+        let stages = rollout.stages_reached;
         self.revision = index;
         let complete = self.finish_if_complete();
         Ok(Accepted::Advanced { generation, stages, complete })
     }
 
-    /// A rollout whose last stage is reached becomes the base of the whole fleet.
+    /// Makes the target of a rollout whose last stage is reached the base of the whole fleet.
     fn finish_if_complete(&mut self) -> bool {
         match self.rollout.take() {
-            Some(rollout) if rollout.reached as usize >= rollout.stages.len() => {
+            Some(rollout) if rollout.stages_reached as usize >= rollout.stages.len() => {
                 self.base = rollout.target;
                 true
             }
@@ -379,7 +383,7 @@
     }
 
     fn withdraw(&mut self, index: u64, operator: &str, to: Option<Digest>) -> Answer {
-        let digest = to.or_else(|| self.earlier_content()).context(NothingToWithdrawSnafu)?;
+        let digest = to.or_else(|| self.replaced_content()).context(NothingToWithdrawSnafu)?;
         let approval = match self.bundles.get(&digest) {
             Some(stored) => Some(stored.approval.clone().context(NotApprovedSnafu { digest })?),
             None if digest == Bundle::default().digest() => None,
@@ -387,7 +391,7 @@
         };
         let mut generation =
             self.next_generation(index, operator, digest, GenerationKind::Withdrawn);
-        if self.is_weak(RolloutWeakness::ReusesGeneration) {
+        if self.has_weakness(RolloutWeakness::ReusesGeneration) {
             generation = self.base.generation;
         }
         self.base = GenerationTarget { generation, digest, approval };
@@ -395,8 +399,8 @@
         Ok(Accepted::Withdrawn { generation, digest })
     }
 
-    /// What the newest generation replaced.
-    fn earlier_content(&self) -> Option<Digest> {
+    /// Digest of the content that the newest generation replaced.
+    fn replaced_content(&self) -> Option<Digest> {
         if self.rollout.is_some() {
             return Some(self.base.digest);
         }
@@ -406,8 +410,9 @@
     }
 }
 
-/// Whether a resend is recognised by what it says: replacements by version and content, for as long
-/// as versions are kept; canaries by service and version, or by the phase that they leave.
+/// Whether a resend is recognized by its content instead of its request id: a replacement by version
+/// and digest for as long as versions are retained, a canary by service and version or by the phase
+/// it leaves, an evacuation by its zone.
 fn is_idempotent(command: &Command) -> bool {
     matches!(
         command,
@@ -427,8 +432,11 @@
     let invalid =
         |error: bundle::UpdateError| InvalidBundleSnafu { problem: error.to_string() }.build();
     let bundle = update.apply(base).map_err(invalid)?;
-    let matches = bundle.digest() == digest;
-    ensure!(matches, InvalidBundleSnafu { problem: "the content does not have its digest" });
+    let digest_matches = bundle.digest() == digest;
+    ensure!(
+        digest_matches,
+        InvalidBundleSnafu { problem: "the content does not match the digest" }
+    );
     Ok(bundle)
 }
 
@@ -454,7 +462,7 @@
         _ => true,
     });
     ensure!(percent_ok, BadStagesSnafu { reason: "a share is 1 to 100 per cent" });
-    let most = LIMITS.objects;
-    ensure!(stages.len() <= most, BadStagesSnafu { reason: "too many stages" });
+    let max_stages = LIMITS.objects;
+    ensure!(stages.len() <= max_stages, BadStagesSnafu { reason: "too many stages" });
     Ok(())
 }
--- a/crates/rollout/src/machine/canaries.rs
+++ b/crates/rollout/src/machine/canaries.rs
@@ -1,4 +1,4 @@
-//! Canaries: which version of its upstreams each service uses, and which it is moving to.
+//! Canaries: moves of a service from one version of its upstreams to another.
 
 use crate::command::{BadCanarySnafu, CanaryUnderWaySnafu, NoSuchCanarySnafu};
 use crate::{Accepted, Answer};
@@ -9,25 +9,25 @@
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 
-/// Longest canary: a week, milliseconds.
-const MOST_DURATION_MS: u64 = 7 * 24 * 3_600 * 1_000;
-/// Barred versions remembered of a service.
-const BARRED_KEPT: usize = 16;
+/// Maximum duration of a canary in milliseconds: one week.
+const MAX_DURATION_MS: u64 = 7 * 24 * 3_600 * 1_000;
+/// Maximum number of barred versions retained per service.
+const RETAINED_BARRED_VERSIONS: usize = 16;
 
 /// The newest canary of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Readable, Writable)]
 pub struct CanaryRecord {
-    /// Log index of its order; names it.
+    /// Log index of the command that started it; identifies the canary.
     pub run: u64,
-    /// The version it moves to.
+    /// The version to move to.
     pub version: String,
-    /// Time within which that should be done, milliseconds.
+    /// Time within which the version should receive all calls, in milliseconds.
     pub duration_ms: u64,
-    /// How far it is.
+    /// The current phase.
     pub phase: Phase,
-    /// Time from its begin to the begin of this phase, milliseconds.
+    /// Time from the start of the canary to the start of this phase, in milliseconds.
     pub elapsed_ms: u64,
-    /// Versions that get no calls: rejected ones, and those that were replaced.
+    /// Versions that receive no calls: those that were rolled back or replaced.
     pub barred: Vec<String>,
 }
 
@@ -35,12 +35,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub(super) struct Canaries {
     pub records: BTreeMap<String, CanaryRecord>,
-    /// Log index of the newest change.
+    /// Log index of the newest change; 0 before the first.
     pub revision: u64,
 }
 
 impl Canaries {
-    /// Takes in an order. One that was taken before is acknowledged again, whatever became of it.
+    /// Starts a canary. A resent command is acknowledged again, even if the canary has ended.
     pub fn start(
         &mut self,
         index: u64,
@@ -49,24 +49,27 @@
         duration_ms: u64,
         service_exists: bool,
     ) -> Answer {
-        let former = self.records.get(service);
-        if let Some(former) = former {
-            let same = former.version == version && former.duration_ms == duration_ms;
-            if same || (former.phase == Phase::Promoted && former.version == version) {
-                return Ok(Accepted::CanaryStarted { run: former.run });
+        let previous = self.records.get(service);
+        if let Some(previous) = previous {
+            let same = previous.version == version && previous.duration_ms == duration_ms;
+            if same || (previous.phase == Phase::Promoted && previous.version == version) {
+                return Ok(Accepted::CanaryStarted { run: previous.run });
             }
-            let under_way = former.phase.is_running();
-            let version = &former.version;
-            ensure!(!under_way, CanaryUnderWaySnafu { service, version });
+            let running = previous.phase.is_running();
+            let version = &previous.version;
+            ensure!(!running, CanaryUnderWaySnafu { service, version });
         }
         let length = 1..=MAX_VERSION_BYTES;
-        let named = length.contains(&version.len());
-        ensure!(named, BadCanarySnafu { reason: "a version has a name of 1 to 128 bytes" });
-        let lasts = (1..=MOST_DURATION_MS).contains(&duration_ms);
-        ensure!(lasts, BadCanarySnafu { reason: "a canary lasts up to a week" });
-        ensure!(service_exists, BadCanarySnafu { reason: format!("no service {service}") });
-        let mut barred = former.map_or_else(Vec::new, |former| former.barred.clone());
-        barred.retain(|barred| barred != version);
+        let valid_name = length.contains(&version.len());
+        ensure!(valid_name, BadCanarySnafu { reason: "a version name must have 1 to 128 bytes" });
+        let valid_duration = (1..=MAX_DURATION_MS).contains(&duration_ms);
+        ensure!(valid_duration, BadCanarySnafu { reason: "a canary must last 1 ms to 7 days" });
+        ensure!(
+            service_exists,
+            BadCanarySnafu { reason: format!("service {service} does not exist") }
+        );
+        let mut barred = previous.map_or_else(Vec::new, |previous| previous.barred.clone());
+        barred.retain(|barred_version| barred_version != version);
         let version = version.to_owned();
         let phase = Phase::Trial;
         let record =
@@ -76,11 +79,11 @@
         Ok(Accepted::CanaryStarted { run: index })
     }
 
-    /// Takes a canary from one phase to a later one.
+    /// Moves a canary from one phase to a later one.
     pub fn step(&mut self, index: u64, service: &str, step: &CanaryStep<'_>) -> Answer {
         let CanaryStep { run, from, to, elapsed_ms, replaced } = *step;
-        let fits = |record: &&mut CanaryRecord| record.run == run && record.phase == from;
-        let found = self.records.get_mut(service).filter(fits);
+        let matches_step = |record: &&mut CanaryRecord| record.run == run && record.phase == from;
+        let found = self.records.get_mut(service).filter(matches_step);
         let record = found.context(NoSuchCanarySnafu { service, run })?;
         ensure!(from.is_running() && from < to, NoSuchCanarySnafu { service, run });
         record.phase = to;
@@ -93,14 +96,14 @@
             }
             Phase::Trial | Phase::Ramp | Phase::Settle | Phase::Shift => {}
         }
-        let beyond = record.barred.len().saturating_sub(BARRED_KEPT);
-        record.barred.drain(..beyond);
+        let excess = record.barred.len().saturating_sub(RETAINED_BARRED_VERSIONS);
+        record.barred.drain(..excess);
         self.revision = index;
         Ok(Accepted::CanaryMoved { run, phase: to })
     }
 }
 
-/// A step of a canary.
+/// Move of a canary from one phase to another.
 #[derive(Clone, Copy)]
 pub(super) struct CanaryStep<'a> {
     pub run: u64,
--- a/crates/rollout/src/machine/evacuations.rs
+++ b/crates/rollout/src/machine/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: their upstreams get no calls until an operator restores them.
+//! Evacuated zones, whose upstreams receive no calls until an operator restores the zone.
 
 use crate::command::BadZoneSnafu;
 use crate::{Accepted, Answer};
@@ -7,15 +7,16 @@
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 
-/// Longest name of a zone, bytes: every node keeps it.
-const MOST_ZONE_BYTES: usize = 128;
-/// Most zones evacuated at once: some times what the largest fleet planned for has.
-const MOST_EVACUATED: usize = 64;
+/// Maximum length of a zone name in bytes. Limited because every node stores the names.
+const MAX_ZONE_NAME_BYTES: usize = 128;
+/// Maximum number of zones evacuated at once, several times the number of zones in the largest
+/// planned fleet.
+const MAX_EVACUATED_ZONES: usize = 64;
 
 /// One evacuated zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Readable, Writable)]
 pub struct EvacuationRecord {
-    /// When it was ordered, Unix milliseconds of the coordinator that took the order.
+    /// Time of the command, in Unix milliseconds of the coordinator that accepted it.
     pub ordered_ms: u64,
 }
 
@@ -28,21 +29,21 @@
 }
 
 impl Evacuations {
-    /// Takes in an order. A zone that is evacuated already stays so, and is acknowledged again.
+    /// Evacuates a zone. If it is already evacuated, the command is acknowledged and changes nothing.
     pub fn start(&mut self, index: u64, zone: &str, ordered_ms: u64) -> Answer {
-        let named = (1..=MOST_ZONE_BYTES).contains(&zone.len());
-        ensure!(named, BadZoneSnafu { reason: "a zone has a name of 1 to 128 bytes" });
+        let valid_name = (1..=MAX_ZONE_NAME_BYTES).contains(&zone.len());
+        ensure!(valid_name, BadZoneSnafu { reason: "a zone name must have 1 to 128 bytes" });
         if self.zones.contains_key(zone) {
             return Ok(Accepted::ZoneEvacuated { zone: zone.to_owned() });
         }
-        let room = self.zones.len() < MOST_EVACUATED;
-        ensure!(room, BadZoneSnafu { reason: "64 zones are evacuated already" });
+        let below_limit = self.zones.len() < MAX_EVACUATED_ZONES;
+        ensure!(below_limit, BadZoneSnafu { reason: "64 zones are already evacuated" });
         self.zones.insert(zone.to_owned(), EvacuationRecord { ordered_ms });
         self.revision = index;
         Ok(Accepted::ZoneEvacuated { zone: zone.to_owned() })
     }
 
-    /// Takes an order back; one that does not hold is acknowledged as well.
+    /// Restores a zone. If it is not evacuated, the command is acknowledged and changes nothing.
     pub fn end(&mut self, index: u64, zone: &str) -> Answer {
         if self.zones.remove(zone).is_some() {
             self.revision = index;
--- a/crates/rollout/src/machine/queries.rs
+++ b/crates/rollout/src/machine/queries.rs
@@ -1,4 +1,4 @@
-//! Questions about the state; none changes it.
+//! Read-only queries of the state.
 
 use super::{
     CanaryRecord, ConfigMachine, EvacuationRecord, GenerationRecord, StoredBundle, VersionClaim,
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 
 impl ConfigMachine {
-    /// Whether the content in force, or one that is being rolled out, knows a service.
+    /// Whether the content in force or the content being rolled out contains a service.
     pub(super) fn has_service(&self, name: &str) -> bool {
         let view = self.view();
-        let mut contents = view.targets().filter_map(|target| self.bundles.get(&target.digest));
-        contents.any(|stored| stored.bundle.services().any(|service| service.name == name))
+        let mut bundles = view.targets().filter_map(|target| self.bundles.get(&target.digest));
+        bundles.any(|stored| stored.bundle.services().any(|service| service.name == name))
     }
 
-    /// The newest canary of each service that ever had one, by service.
+    /// The newest canary of each service that has had one, by service.
     pub fn canaries(&self) -> &BTreeMap<String, CanaryRecord> {
         &self.canaries.records
     }
@@ -26,7 +26,7 @@
         self.canaries.revision
     }
 
-    /// The evacuated zones.
+    /// The evacuated zones, by name.
     pub fn evacuations(&self) -> &BTreeMap<String, EvacuationRecord> {
         &self.evacuations.zones
     }
@@ -36,12 +36,12 @@
         self.evacuations.revision
     }
 
-    /// The policy in force.
+    /// The approval policy.
     pub fn approval_policy(&self) -> &ApprovalPolicy {
         &self.policy
     }
 
-    /// The operators' number of the newest replacement; 0 before the first.
+    /// The version of the newest replacement; 0 before the first.
     pub fn current_version(&self) -> u64 {
         self.current_version
     }
@@ -56,20 +56,21 @@
         self.base.generation
     }
 
-    /// What relays need to know.
+    /// The view of the rollout state for relays.
     pub fn view(&self) -> TargetView {
         let candidate = self.rollout.as_ref().map(|rollout| Candidate {
             target: rollout.target.clone(),
-            active_stages: rollout.stages[..rollout.reached as usize].to_vec(),
+            active_stages: rollout.stages[..rollout.stages_reached as usize].to_vec(),
         });
         TargetView { revision: self.revision, base: self.base.clone(), candidate }
     }
 
-    /// The rollout's generation, stages reached and rule, unless paused or absent.
-    pub(crate) fn self_advancing(&self) -> Option<(u64, u32, u32)> {
+    /// The generation of the rollout, the number of stages reached and the time in seconds that a
+    /// stage must be healthy, if the rollout advances automatically and is not paused.
+    pub(crate) fn automatic_advance(&self) -> Option<(u64, u32, u32)> {
         let rollout = self.rollout.as_ref().filter(|rollout| !rollout.paused)?;
         let seconds = rollout.advance_after_s?;
-        Some((rollout.target.generation, rollout.reached, seconds))
+        Some((rollout.target.generation, rollout.stages_reached, seconds))
     }
 
     /// Whether the rollout is paused.
@@ -77,22 +78,22 @@
         self.rollout.as_ref().is_some_and(|rollout| rollout.paused)
     }
 
-    /// Number of stages of the rollout in progress, reached and in all.
+    /// Number of stages reached and total number of stages of the rollout in progress.
     pub fn rollout_stages(&self) -> Option<(u32, usize)> {
-        self.rollout.as_ref().map(|rollout| (rollout.reached, rollout.stages.len()))
+        self.rollout.as_ref().map(|rollout| (rollout.stages_reached, rollout.stages.len()))
     }
 
-    /// The newest generation accepted.
+    /// The newest generation.
     pub fn newest_generation(&self) -> u64 {
         self.newest_generation
     }
 
-    /// A stored bundle; the empty one is always known.
+    /// The stored bundle with the given digest.
     pub fn bundle(&self, digest: &Digest) -> Option<&StoredBundle> {
         self.bundles.get(digest)
     }
 
-    /// Content by digest, the empty bundle included.
+    /// The bundle with the given digest. The empty bundle exists without being stored.
     pub fn content(&self, digest: &Digest) -> Option<Bundle> {
         let empty = Bundle::default();
         if *digest == empty.digest() {
@@ -101,19 +102,19 @@
         self.bundles.get(digest).map(|stored| stored.bundle.clone())
     }
 
-    /// The digest submitted under a version.
+    /// Digest of the bundle with the given version.
     pub fn version(&self, version: u64) -> Option<Digest> {
-        self.versions.get(&version).map(|held| held.digest)
+        self.versions.get(&version).map(|claim| claim.digest)
     }
 
-    /// All stored versions.
+    /// Summaries of the versions whose bundles are stored.
     pub fn versions(&self) -> Vec<VersionSummary> {
-        let summary = |(version, held): (&u64, &VersionClaim)| {
-            let stored = self.bundles.get(&held.digest)?;
+        let summary = |(version, claim): (&u64, &VersionClaim)| {
+            let stored = self.bundles.get(&claim.digest)?;
             Some(VersionSummary {
                 version: *version,
-                digest: held.digest,
-                submitter: held.submitter.clone(),
+                digest: claim.digest,
+                submitter: claim.submitter.clone(),
                 approver: stored.approval.as_ref().map(|approval| approval.operator.clone()),
                 objects: stored.bundle.objects().len(),
             })
@@ -121,7 +122,7 @@
         self.versions.iter().filter_map(summary).collect()
     }
 
-    /// The generations kept, oldest first.
+    /// The retained generations, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &GenerationRecord> {
         self.history.iter()
     }
--- a/crates/rollout/src/machine/records.rs
+++ b/crates/rollout/src/machine/records.rs
@@ -1,11 +1,11 @@
-//! What the state machine keeps: bundles, generations, version numbers, answers.
+//! Records in the state: bundles, generations, version numbers and answers.
 
 use crate::{Answer, GenerationTarget, Stage};
 use bundle::{Approval, Bundle, Digest};
 use serde::Serialize;
 use speedy::{Readable, Writable};
 
-/// Why a generation was made.
+/// How a generation was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Readable, Writable)]
 #[serde(rename_all = "lowercase")]
 pub enum GenerationKind {
@@ -13,20 +13,20 @@
     Rolled,
     /// A trusted source replaced the whole content.
     Replaced,
-    /// An operator withdrew the generation before.
+    /// An operator withdrew a generation and returned to earlier content.
     Withdrawn,
 }
 
-/// One generation in the history.
+/// A generation in the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Readable, Writable)]
 pub struct GenerationRecord {
-    /// Its number.
+    /// Number of the generation.
     pub generation: u64,
-    /// Its content.
+    /// Digest of its content.
     pub digest: Digest,
-    /// Who made it.
+    /// Operator who created it.
     pub operator: String,
-    /// Why.
+    /// How it was created.
     pub kind: GenerationKind,
     /// Log index at which it was accepted.
     pub accepted_at: u64,
@@ -35,28 +35,28 @@
 /// A submitted bundle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredBundle {
-    /// Content.
+    /// The bundle.
     pub bundle: Bundle,
-    /// The operators' number.
+    /// Version number chosen by the operators.
     pub version: u64,
-    /// Who submitted it.
+    /// Operator who submitted it.
     pub submitter: String,
-    /// Sign-off.
+    /// Approval, if it is approved.
     pub approval: Option<Approval>,
 }
 
 /// A line of `bundle list`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct VersionSummary {
-    /// The operators' number.
+    /// Version number chosen by the operators.
     pub version: u64,
-    /// Content.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// Who submitted it.
+    /// Operator who submitted it.
     pub submitter: String,
-    /// Who approved it.
+    /// Operator who approved it, if any.
     pub approver: Option<String>,
-    /// Number of objects.
+    /// Number of objects in the bundle.
     pub objects: usize,
 }
 
@@ -65,12 +65,13 @@
 pub(super) struct Rollout {
     pub target: GenerationTarget,
     pub stages: Vec<Stage>,
-    pub reached: u32,
+    /// Number of stages reached.
+    pub stages_reached: u32,
     pub advance_after_s: Option<u32>,
     pub paused: bool,
 }
 
-/// The answer to a request, kept for resends.
+/// Answer to a request, retained for resends.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub(super) struct RecordedAnswer {
     pub operator: String,
@@ -79,11 +80,11 @@
     pub answer: Answer,
 }
 
-/// Who took a version number, and for which content; kept longer than the content.
+/// Submitter and content of a taken version number; retained longer than the content.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub(super) struct VersionClaim {
     pub digest: Digest,
     pub submitter: String,
-    /// The generation a replacement became; 0 for a submission.
+    /// Generation created by a replacement; 0 for a submission.
     pub generation: u64,
 }
--- a/crates/rollout/src/machine/snapshot.rs
+++ b/crates/rollout/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole state as bytes, for checkpoints and for replicas that are far behind.
+//! Encoding of the whole state, for checkpoints and for replicas that lag far behind.
 
 use super::canaries::Canaries;
 use super::evacuations::Evacuations;
@@ -29,15 +29,16 @@
     answers: Vec<RecordedAnswer>,
     policy: ApprovalPolicy,
     current_version: u64,
-    /// Checkpoints of an earlier version hold none.
+    /// Missing in checkpoints of earlier releases.
     #[speedy(default_on_eof)]
     canaries: Canaries,
+    /// Missing in checkpoints of earlier releases.
     #[speedy(default_on_eof)]
     evacuations: Evacuations,
 }
 
 impl ConfigMachine {
-    /// Encodes the whole state for a snapshot.
+    /// Encodes the whole state.
     pub fn encode(&self) -> Vec<u8> {
         let bundles = self.bundle_order.iter().filter_map(|digest| self.bundles.get(digest));
         let encoded = EncodedMachine {
@@ -57,7 +58,7 @@
         encoded.write_to_vec().expect("encoding to memory cannot fail")
     }
 
-    /// Restores what [`ConfigMachine::encode`] wrote; empty bytes stand for a new fleet.
+    /// Decodes the output of [`ConfigMachine::encode`]. Empty input decodes to the state of a new fleet.
     pub fn decode(bytes: &[u8]) -> Result<Self, speedy::Error> {
         if bytes.is_empty() {
             return Ok(ConfigMachine::default());
--- a/crates/rollout/src/spread.rs
+++ b/crates/rollout/src/spread.rs
@@ -1,97 +1,99 @@
-//! How far each generation has spread, from the relays' aggregated reports.
+//! Aggregation of the relays' reports on how many proxies have applied each generation.
 
 use serde::Serialize;
 use speedy::{Readable, Writable};
 use std::collections::BTreeMap;
 
-/// A relay whose last report is older than this says nothing about its proxies any more, ms.
+/// Milliseconds after which the last report of a relay expires.
 pub const REPORT_LEASE_MS: u64 = 3_000;
-/// Laggards named in the summary.
+/// Maximum number of laggards listed in the summary.
 const MAX_LAGGARDS: usize = 32;
 
-/// A proxy that does not have its target.
+/// A proxy that has not applied its target generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Readable, Writable)]
 pub struct Laggard {
-    /// The proxy's id.
+    /// Id of the proxy.
     pub proxy: String,
-    /// What it has applied.
+    /// The generation it has applied.
     pub generation: u64,
-    /// What it should have.
+    /// The generation it should apply.
     pub target: u64,
-    /// Why it refused the target, if it did.
+    /// Why it rejected the target, if it did.
     pub error: Option<String>,
 }
 
-/// What one relay knows of its proxies.
+/// Report of a relay on its proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Readable, Writable)]
 pub struct RelayReport {
-    /// The relay.
+    /// Id of the relay.
     pub relay: String,
-    /// Its zone.
+    /// Zone of the relay.
     pub zone: String,
-    /// Number of proxies per applied generation.
+    /// Number of proxies by applied generation.
     pub by_generation: Vec<(u64, u32)>,
-    /// Proxies out of touch longer than their lease.
+    /// Number of proxies not heard from for longer than their lease.
     pub unknown: u32,
-    /// Connected proxies that a rollout's stages cover.
+    /// Number of connected proxies in the reached stages of a rollout.
     pub staged: u32,
-    /// How many of those have applied it.
+    /// Number of these that have applied the generation.
     pub staged_applied: u32,
-    /// Proxies that refused their target.
+    /// Number of proxies that rejected their target.
     pub errors: u32,
-    /// Some of the proxies without their target.
+    /// Some of the proxies that have not applied their target.
     pub laggards: Vec<Laggard>,
 }
 
-/// The reports of all relays, each valid for a lease.
+/// The latest reports of all relays, each valid for [`REPORT_LEASE_MS`].
 #[derive(Clone, Debug, Default)]
 pub struct FleetSpread {
+    /// By relay: when the report was received, and the report.
     reports: BTreeMap<String, (u64, RelayReport)>,
 }
 
-/// The whole fleet at a glance.
+/// Summary of the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SpreadSummary {
-    /// Number of proxies per applied generation, highest first.
+    /// Number of proxies by applied generation, newest generation first.
     pub by_generation: Vec<(u64, u32)>,
-    /// Proxies in touch with a relay.
+    /// Number of proxies in valid reports.
     pub proxies: u32,
-    /// Proxies out of touch longer than their lease.
+    /// Number of proxies not heard from for longer than their lease, and of all proxies of silent
+    /// relays.
     pub unknown: u32,
-    /// Connected proxies covered by the rollout's stages.
+    /// Number of connected proxies in the reached stages of the rollout.
     pub staged: u32,
-    /// How many of those have applied it.
+    /// Number of these that have applied the generation.
     pub staged_applied: u32,
-    /// Proxies that refused their target.
+    /// Number of proxies that rejected their target.
     pub errors: u32,
-    /// Relays heard from within the lease.
+    /// Number of relays with a valid report.
     pub relays: u32,
-    /// Relays whose last report is older than the lease.
+    /// Relays whose last report has expired.
     pub silent_relays: Vec<String>,
-    /// Some of the proxies without their target.
+    /// Some of the proxies that have not applied their target.
     pub laggards: Vec<Laggard>,
 }
 
 impl FleetSpread {
-    /// Takes a report in at time `now_ms` of the monotonic clock.
+    /// Records a report received at `now_ms`, in milliseconds of the monotonic clock.
     pub fn record(&mut self, now_ms: u64, report: RelayReport) {
         self.reports.insert(report.relay.clone(), (now_ms, report));
     }
 
-    /// Forgets everything; a new leader starts from nothing.
+    /// Discards all reports; a new leader starts without any.
     pub fn clear(&mut self) {
         self.reports.clear();
     }
 
-    /// Adds up the reports that are still valid.
+    /// Summarizes the reports that are still valid at `now_ms`.
     pub fn summary(&self, now_ms: u64) -> SpreadSummary {
         let mut summary = SpreadSummary::default();
         let mut by_generation: BTreeMap<u64, u32> = BTreeMap::new();
         for (reported_ms, report) in self.reports.values() {
             if now_ms.saturating_sub(*reported_ms) > REPORT_LEASE_MS {
                 summary.silent_relays.push(report.relay.clone());
-                let lost: u32 = report.by_generation.iter().map(|(_, count)| count).sum();
-                summary.unknown += lost + report.unknown;
+                let silent_proxies: u32 = report.by_generation.iter().map(|(_, count)| count).sum();
+                summary.unknown += silent_proxies + report.unknown;
                 continue;
             }
             summary.relays += 1;
@@ -103,8 +105,8 @@
                 *by_generation.entry(*generation).or_default() += count;
                 summary.proxies += count;
             }
-            let room = MAX_LAGGARDS.saturating_sub(summary.laggards.len());
-            summary.laggards.extend(report.laggards.iter().take(room).cloned());
+            let remaining = MAX_LAGGARDS.saturating_sub(summary.laggards.len());
+            summary.laggards.extend(report.laggards.iter().take(remaining).cloned());
         }
         summary.by_generation = by_generation.into_iter().rev().collect();
         summary
--- a/crates/rollout/src/view.rs
+++ b/crates/rollout/src/view.rs
@@ -1,65 +1,65 @@
-//! The committed targets, and which proxy each applies to.
+//! The committed target generations, and the proxies that each applies to.
 
 use bundle::{Approval, Digest};
 use serde::{Deserialize, Serialize};
 use speedy::{Readable, Writable};
 
-/// Names a proxy and says where it runs.
+/// Identity and location of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Readable, Writable)]
 pub struct ProxyName {
-    /// Unique in the fleet and stable over restarts.
+    /// Id, unique in the fleet and stable across restarts.
     pub id: String,
-    /// Its zone.
+    /// Zone in which the proxy runs.
     pub zone: String,
 }
 
-/// A set of proxies that a rollout reaches together.
+/// A set of proxies that a rollout reaches at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Readable, Writable)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Stage {
-    /// These proxies.
+    /// Proxies with these ids.
     Proxies(Vec<String>),
     /// All proxies of these zones.
     Zones(Vec<String>),
-    /// This share of all proxies, per cent, chosen by a hash of proxy and generation.
+    /// This percentage of all proxies, selected by a hash of proxy and generation.
     Percent(u32),
-    /// Every proxy.
+    /// All proxies.
     All,
 }
 
-/// A generation with the bundle it stands for.
+/// A generation and its bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct GenerationTarget {
-    /// Strictly rising number; 0 is the empty configuration a fleet begins with.
+    /// Strictly increasing number; 0 is the empty configuration of a new fleet.
     pub generation: u64,
-    /// Digest of its bundle.
+    /// Digest of the bundle.
     pub digest: Digest,
-    /// Sign-off of the bundle; `None` only for generation 0.
+    /// Approval of the bundle; `None` only for the empty bundle.
     pub approval: Option<Approval>,
 }
 
 /// A generation that is being rolled out.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct Candidate {
-    /// What is rolled out.
+    /// The generation.
     pub target: GenerationTarget,
-    /// Stages reached so far; they add up.
+    /// Stages reached so far; a proxy in any of them gets the generation.
     pub active_stages: Vec<Stage>,
 }
 
-/// What every relay needs to know of the rollout.
+/// The part of the rollout state that relays need.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct TargetView {
-    /// Log index of the last change; views are ordered by it.
+    /// Log index of the last change; orders views.
     pub revision: u64,
-    /// The generation of all proxies outside the candidate's stages.
+    /// The generation of the proxies that are not in a reached stage of the candidate.
     pub base: GenerationTarget,
     /// The generation being rolled out.
     pub candidate: Option<Candidate>,
 }
 
 impl TargetView {
-    /// The view of a fleet to which nothing was rolled out.
+    /// The view of a fleet to which nothing has been rolled out.
     pub fn empty() -> Self {
         let digest = bundle::Bundle::default().digest();
         TargetView {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The generation this proxy shall have. For a given proxy it only rises with `revision`.
+    /// The generation that the proxy should apply. For a given proxy it only increases with
+    /// `revision`.
     pub fn target_for(&self, proxy: &ProxyName) -> &GenerationTarget {
         match &self.candidate {
             Some(candidate) if candidate.covers(proxy) => &candidate.target,
@@ -77,9 +78,9 @@
         }
     }
 
-    /// The targets in use: one, or two during a rollout.
+    /// The targets in use: the base and, during a rollout, the candidate.
     pub fn targets(&self) -> impl Iterator<Item = &GenerationTarget> {
-        std::iter::once(&self.base).chain(self.candidate.iter().map(|found| &found.target))
+        std::iter::once(&self.base).chain(self.candidate.iter().map(|candidate| &candidate.target))
     }
 
     /// The highest generation in use.
@@ -89,7 +90,7 @@
 }
 
 impl Candidate {
-    /// Whether a stage reached so far includes the proxy.
+    /// Whether the proxy is in a stage reached so far.
     pub fn covers(&self, proxy: &ProxyName) -> bool {
         let generation = self.target.generation;
         self.active_stages.iter().any(|stage| stage.includes(proxy, generation))
@@ -97,7 +98,7 @@
 }
 
 impl Stage {
-    /// Whether the stage includes a proxy; the answer never changes for one generation.
+    /// Whether the proxy is in the stage. Constant for a given generation.
     pub fn includes(&self, proxy: &ProxyName, generation: u64) -> bool {
         match self {
             Stage::Proxies(ids) => ids.contains(&proxy.id),
@@ -108,11 +109,11 @@
     }
 }
 
-/// A number from 0 to 99 that is stable for a proxy and differs between generations, so that the
-/// same proxies are not always the first to get a new version.
+/// Maps a proxy to a number from 0 to 99 that depends on the generation, so that different proxies
+/// are the first to get each new generation.
 fn percentile(proxy: &str, generation: u64) -> u32 {
     let digest = Digest::of(format!("{generation}/{proxy}").as_bytes());
-    let mut first = [0; 4];
-    first.copy_from_slice(&digest.0[..4]);
-    u32::from_le_bytes(first) % 100
+    let mut prefix = [0; 4];
+    prefix.copy_from_slice(&digest.0[..4]);
+    u32::from_le_bytes(prefix) % 100
 }
--- a/crates/rollout/tests/canaries.rs
+++ b/crates/rollout/tests/canaries.rs
@@ -1,4 +1,4 @@
-//! Canaries in the replicated log: a row for each order that can come, and what becomes of it.
+//! Canary commands in the replicated log, valid and invalid, and their results.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 impl Fleet {
     fn new() -> Self {
-        let mut fleet = Fleet::trusting();
+        let mut fleet = Fleet::with_trusted_source();
         let service = |name: &str| {
             Object::Service(Service {
                 name: name.to_owned(),
@@ -27,7 +27,7 @@
         let update = best_update(Some(&Bundle::default()), &bundle);
         let digest = bundle.digest();
         let replace = Command::Replace { expected_version: 0, version: 1, digest, update };
-        fleet.apply(SOURCE, replace).expect("replaced");
+        fleet.apply(SOURCE, replace).expect("the replacement is accepted");
         fleet
     }
 
@@ -72,50 +72,50 @@
     }
 }
 
-fn run_of(answer: Answer) -> u64 {
+fn started_run(answer: Answer) -> u64 {
     match answer {
         Ok(Accepted::CanaryStarted { run }) => run,
-        other => panic!("not started: {other:?}"),
+        other => panic!("the canary was not started: {other:?}"),
     }
 }
 
 #[test]
 fn an_order_that_was_taken_is_acknowledged_again_whatever_became_of_it() {
     let mut fleet = Fleet::new();
-    let run = run_of(fleet.start(FARES, "v2", DURATION_MS));
+    let run = started_run(fleet.start(FARES, "v2", DURATION_MS));
     let revision = fleet.machine.canaries_revision();
-    assert_eq!(run_of(fleet.start(FARES, "v2", DURATION_MS)), run);
-    assert_eq!(fleet.machine.canaries_revision(), revision, "nothing changed");
+    assert_eq!(started_run(fleet.start(FARES, "v2", DURATION_MS)), run);
+    assert_eq!(fleet.machine.canaries_revision(), revision, "a resend must not change the state");
     fleet.promote(FARES, run);
-    assert_eq!(run_of(fleet.start(FARES, "v2", DURATION_MS)), run);
+    assert_eq!(started_run(fleet.start(FARES, "v2", DURATION_MS)), run);
     assert_eq!(fleet.phase(FARES), Phase::Promoted);
-    let run = run_of(fleet.start(BALANCE, "v2", DURATION_MS));
-    fleet.step(BALANCE, run, Phase::Trial, Phase::RolledBack).expect("rolled back");
-    assert_eq!(run_of(fleet.start(BALANCE, "v2", DURATION_MS)), run);
-    assert_eq!(fleet.phase(BALANCE), Phase::RolledBack, "a resend does not begin it again");
+    let run = started_run(fleet.start(BALANCE, "v2", DURATION_MS));
+    fleet.step(BALANCE, run, Phase::Trial, Phase::RolledBack).expect("valid step");
+    assert_eq!(started_run(fleet.start(BALANCE, "v2", DURATION_MS)), run);
+    assert_eq!(fleet.phase(BALANCE), Phase::RolledBack, "a resend must not restart the canary");
 }
 
 #[test]
 fn another_order_waits_for_the_end_of_the_one_under_way() {
     let mut fleet = Fleet::new();
-    let run = run_of(fleet.start(FARES, "v2", DURATION_MS));
+    let run = started_run(fleet.start(FARES, "v2", DURATION_MS));
     for (version, duration_ms) in [("v3", DURATION_MS), ("v2", DURATION_MS + 1)] {
         let answer = fleet.start(FARES, version, duration_ms);
         assert!(matches!(answer, Err(Refusal::CanaryUnderWay { .. })), "{answer:?}");
     }
-    let other = run_of(fleet.start(BALANCE, "v2", DURATION_MS));
-    assert_ne!(run, other, "another service has its own");
+    let other = started_run(fleet.start(BALANCE, "v2", DURATION_MS));
+    assert_ne!(run, other, "each service has its own canary");
     fleet.promote(FARES, run);
-    assert_ne!(run_of(fleet.start(FARES, "v3", DURATION_MS)), run);
+    assert_ne!(started_run(fleet.start(FARES, "v3", DURATION_MS)), run);
 }
 
 #[test]
 fn bad_orders_are_refused_and_leave_nothing() {
     let mut fleet = Fleet::new();
-    let long = "v".repeat(129);
+    let too_long = "v".repeat(129);
     for (service, version, duration_ms) in [
         (FARES, "", DURATION_MS),
-        (FARES, long.as_str(), DURATION_MS),
+        (FARES, too_long.as_str(), DURATION_MS),
         (FARES, "v2", 0),
         (FARES, "v2", u64::MAX),
         ("unknown", "v2", DURATION_MS),
@@ -124,8 +124,8 @@
         assert!(matches!(answer, Err(Refusal::BadCanary { .. })), "{answer:?}");
     }
     let (service, version) = (FARES.to_owned(), "v2".to_owned());
-    let order = Command::StartCanary { service, version, duration_ms: DURATION_MS };
-    assert!(matches!(fleet.apply("somebody", order), Err(Refusal::NotTrusted { .. })));
+    let command = Command::StartCanary { service, version, duration_ms: DURATION_MS };
+    assert!(matches!(fleet.apply("somebody", command), Err(Refusal::NotTrusted { .. })));
     assert!(fleet.machine.canaries().is_empty());
     assert_eq!(fleet.machine.canaries_revision(), 0);
 }
@@ -133,8 +133,8 @@
 #[test]
 fn phases_only_go_forward_and_never_after_the_end() {
     let mut fleet = Fleet::new();
-    let run = run_of(fleet.start(FARES, "v2", DURATION_MS));
-    fleet.step(FARES, run, Phase::Trial, Phase::Ramp).expect("goes on");
+    let run = started_run(fleet.start(FARES, "v2", DURATION_MS));
+    fleet.step(FARES, run, Phase::Trial, Phase::Ramp).expect("valid step");
     for (run, from, to) in [
         (run, Phase::Trial, Phase::RolledBack),
         (run, Phase::Ramp, Phase::Trial),
@@ -144,9 +144,9 @@
         let answer = fleet.step(FARES, run, from, to);
         assert!(matches!(answer, Err(Refusal::NoSuchCanary { .. })), "{answer:?}");
     }
-    let by_others = fleet.step_by(SOURCE, FARES, run, Phase::Ramp, Phase::Shift);
-    assert!(matches!(by_others, Err(Refusal::NotTrusted { .. })), "{by_others:?}");
-    fleet.step(FARES, run, Phase::Ramp, Phase::RolledBack).expect("ends");
+    let by_other_operator = fleet.step_by(SOURCE, FARES, run, Phase::Ramp, Phase::Shift);
+    assert!(matches!(by_other_operator, Err(Refusal::NotTrusted { .. })), "{by_other_operator:?}");
+    fleet.step(FARES, run, Phase::Ramp, Phase::RolledBack).expect("valid step");
     let answer = fleet.step(FARES, run, Phase::RolledBack, Phase::Promoted);
     assert!(matches!(answer, Err(Refusal::NoSuchCanary { .. })), "{answer:?}");
     assert_eq!(fleet.phase(FARES), Phase::RolledBack);
@@ -155,18 +155,18 @@
 #[test]
 fn replaced_and_rejected_versions_are_barred_until_they_are_ordered_again() {
     let mut fleet = Fleet::new();
-    let run = run_of(fleet.start(FARES, "v2", DURATION_MS));
+    let run = started_run(fleet.start(FARES, "v2", DURATION_MS));
     fleet.promote(FARES, run);
     assert_eq!(fleet.machine.canaries()[FARES].barred, ["v1"]);
-    let run = run_of(fleet.start(FARES, "v3", DURATION_MS));
-    fleet.step(FARES, run, Phase::Trial, Phase::RolledBack).expect("ends");
+    let run = started_run(fleet.start(FARES, "v3", DURATION_MS));
+    fleet.step(FARES, run, Phase::Trial, Phase::RolledBack).expect("valid step");
     assert_eq!(fleet.machine.canaries()[FARES].barred, ["v1", "v3"]);
-    run_of(fleet.start(FARES, "v1", DURATION_MS));
+    started_run(fleet.start(FARES, "v1", DURATION_MS));
     assert_eq!(fleet.machine.canaries()[FARES].barred, ["v3"]);
     for number in 0..100 {
         let run = fleet.machine.canaries()[FARES].run;
-        fleet.step(FARES, run, Phase::Trial, Phase::RolledBack).expect("ends");
-        run_of(fleet.start(FARES, &format!("w{number}"), DURATION_MS));
+        fleet.step(FARES, run, Phase::Trial, Phase::RolledBack).expect("valid step");
+        started_run(fleet.start(FARES, &format!("w{number}"), DURATION_MS));
     }
     assert!(fleet.machine.canaries()[FARES].barred.len() <= 16);
 }
@@ -175,13 +175,15 @@
 fn a_checkpoint_holds_canaries_and_one_without_them_is_read() {
     let mut fleet = Fleet::new();
     let before = fleet.machine.encode();
-    run_of(fleet.start(FARES, "v2", DURATION_MS));
-    let restored = ConfigMachine::decode(&fleet.machine.encode()).expect("reads");
+    started_run(fleet.start(FARES, "v2", DURATION_MS));
+    let restored =
+        ConfigMachine::decode(&fleet.machine.encode()).expect("the encoded state is readable");
     assert_eq!(restored.canaries(), fleet.machine.canaries());
     assert_eq!(restored.canaries_revision(), fleet.machine.canaries_revision());
-    // An earlier version wrote nothing after the configuration's version: no count of records and
-    // no revision.
-    let former = &before[..before.len() - 4 - 8];
-    let restored = ConfigMachine::decode(former).expect("reads what an earlier version wrote");
+    // Checkpoints of earlier releases end after the current version: they have neither the number of
+    // canary records (4 bytes) nor their revision (8 bytes).
+    let earlier = &before[..before.len() - 4 - 8];
+    let restored =
+        ConfigMachine::decode(earlier).expect("checkpoints of earlier releases are readable");
     assert!(restored.canaries().is_empty());
 }
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A replicated state machine to which commands are applied one after the other.
+//! A state machine to which commands are applied in sequence, each with its own request id.
 
 use rollout::{
     Accepted, Answer, ApprovalPolicy, Command, ConfigMachine, Request, CONTROL_OPERATOR,
 };
 
-/// Who may replace the configuration.
+/// Operator that is the trusted source.
 pub const SOURCE: &str = "platform";
 
 #[derive(Default)]
@@ -14,12 +14,12 @@
 }
 
 impl Fleet {
-    /// One that trusts [`SOURCE`].
-    pub fn trusting() -> Self {
+    /// A fleet whose trusted source is [`SOURCE`].
+    pub fn with_trusted_source() -> Self {
         let mut fleet = Fleet::default();
         let policy = ApprovalPolicy::TrustedSource { principal: SOURCE.to_owned() };
-        let set = fleet.apply(CONTROL_OPERATOR, Command::SetApprovalPolicy { policy });
-        assert_eq!(set, Ok(Accepted::PolicySet));
+        let answer = fleet.apply(CONTROL_OPERATOR, Command::SetApprovalPolicy { policy });
+        assert_eq!(answer, Ok(Accepted::PolicySet));
         fleet
     }
 
