--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The store on disk: `identity`, `checkpoint-N` and `log-N` in one folder.
+//! Data folders and stores on disk: the files `identity`, `checkpoint-N` and `log-N`.
 
 use crate::record::{decode_records, encode_record, Record, TailState};
 use crate::sync::{sync_all, sync_data};
@@ -14,18 +14,18 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Name of the file that says whose data a folder holds.
+/// Name of the file that records the owner of a data folder.
 pub const IDENTITY_FILE: &str = "identity";
 const LOCK_FILE: &str = "lock";
 const CHECKPOINT_PREFIX: &str = "checkpoint-";
 const LOG_PREFIX: &str = "log-";
 
-/// Whose data a folder holds.
+/// Owner of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct FolderIdentity {
     /// Name of the fleet.
     pub fleet: String,
-    /// Member id.
+    /// Id of the member.
     pub member: u64,
 }
 
@@ -42,15 +42,15 @@
     entries: Vec<Entry>,
 }
 
-/// A member's data folder, locked against a second process while this value lives.
+/// A member's data folder, locked against other processes until this value is dropped.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
     _lock: File,
 }
 
-/// Opens a member's data folder: `create` is true for `--bootstrap` and `--join`, when the folder
-/// must be new, and false for a member that should already have its data.
+/// Opens and locks a member's data folder. `create` is true for `--bootstrap` and `--join`, which
+/// may create the folder, and false for a member that must already have its data.
 pub fn open_data_folder(
     path: &Path,
     identity: &FolderIdentity,
@@ -69,7 +69,7 @@
         .context(IoSnafu { action: "open", path: &lock_path })?;
     ensure!(lock.try_lock().is_ok(), LockedSnafu { path });
     if !exists {
-        write_synced(path, IDENTITY_FILE, &encode_record(identity))?;
+        write_atomically(path, IDENTITY_FILE, &encode_record(identity))?;
     }
     let found = read_identity(path)?;
     ensure!(found == *identity, WrongOwnerSnafu { path, found, expected: identity.clone() });
@@ -77,12 +77,12 @@
 }
 
 impl DataFolder {
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Reads the identity of a folder.
+    /// Reads the owner of the folder at `path` without locking it.
     pub fn identity(path: &Path) -> Result<FolderIdentity, StorageError> {
         read_identity(path)
     }
@@ -92,12 +92,13 @@
     let path = folder.join(IDENTITY_FILE);
     let bytes = fs::read(&path).context(IoSnafu { action: "read", path: &path })?;
     let (mut records, _) = decode_records::<FolderIdentity>(&bytes);
-    let damaged = DamagedSnafu { path, offset: 0u64, reason: "the identity is not readable" };
+    let damaged =
+        DamagedSnafu { path, offset: 0u64, reason: "the identity record cannot be decoded" };
     records.pop().ok_or_else(|| damaged.build())
 }
 
-/// Writes a file whole: to a temporary name, synced, renamed, folder synced.
-fn write_synced(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
+/// Writes a file atomically: writes and syncs a temporary file, renames it and syncs the folder.
+fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
     let temporary = folder.join(format!("{name}.tmp"));
     let path = folder.join(name);
     let mut file =
@@ -113,7 +114,7 @@
     sync_all(&handle, folder)
 }
 
-/// A store in a folder of its own.
+/// A store on disk, in a folder of its own.
 #[derive(Debug)]
 pub struct DiskStore {
     folder: PathBuf,
@@ -123,11 +124,11 @@
 }
 
 impl DiskStore {
-    /// Opens or creates the store of one group. `initial` is used only when nothing is stored.
+    /// Opens or creates the store of one group. `initial` is used only if nothing is stored yet.
     pub fn open(folder: &Path, initial: Snapshot) -> Result<(DiskStore, Recovered), StorageError> {
         fs::create_dir_all(folder).context(IoSnafu { action: "create", path: folder })?;
         if let Some(parent) = folder.parent() {
-            // A folder lasts only once the one it is in was synced, whatever was synced within.
+            // A new folder is durable only once its parent is synced, whatever was synced in it.
             sync_folder(parent)?;
         }
         let Some(sequence) = latest_checkpoint(folder)? else {
@@ -153,7 +154,7 @@
         Ok((store, state))
     }
 
-    /// Reads a store without changing it; used by `chutecove data`.
+    /// Reads a store without changing it, for `chutecove data`. `None` if nothing is stored.
     pub fn inspect(folder: &Path) -> Result<Option<Recovered>, StorageError> {
         let Some(sequence) = latest_checkpoint(folder)? else {
             return Ok(None);
@@ -173,14 +174,14 @@
 }
 
 fn latest_checkpoint(folder: &Path) -> Result<Option<u64>, StorageError> {
-    let names = numbered_files(folder, CHECKPOINT_PREFIX)?;
-    Ok(names.into_iter().max())
+    let sequences = numbered_files(folder, CHECKPOINT_PREFIX)?;
+    Ok(sequences.into_iter().max())
 }
 
 fn numbered_files(folder: &Path, prefix: &str) -> Result<Vec<u64>, StorageError> {
-    let listing = fs::read_dir(folder).context(IoSnafu { action: "list", path: folder })?;
+    let files = fs::read_dir(folder).context(IoSnafu { action: "list", path: folder })?;
     let mut numbers = Vec::new();
-    for file in listing {
+    for file in files {
         let file = file.context(IoSnafu { action: "list", path: folder })?;
         let name = file.file_name();
         let number = name.to_str().and_then(|name| name.strip_prefix(prefix));
@@ -193,7 +194,7 @@
     let path = folder.join(format!("{CHECKPOINT_PREFIX}{sequence}"));
     let bytes = fs::read(&path).context(IoSnafu { action: "read", path: &path })?;
     let (mut records, tail) = decode_records::<Checkpoint>(&bytes);
-    let reason = "the checkpoint does not have its checksum";
+    let reason = "the checkpoint is incomplete or its checksum does not match";
     ensure!(
         tail == TailState::Clean && records.len() == 1,
         DamagedSnafu { path, offset: 0u64, reason }
@@ -206,25 +207,25 @@
     })
 }
 
-/// Replays a log into `state`; returns the bytes to keep, without a torn tail.
+/// Replays a log into `state`. Returns the length of the log without a torn tail.
 fn replay_log(path: &Path, state: &mut Recovered) -> Result<u64, StorageError> {
     if !path.exists() {
         return Ok(0);
     }
     let bytes = fs::read(path).context(IoSnafu { action: "read", path })?;
     let (records, tail) = decode_records::<Record>(&bytes);
-    let kept = match tail {
+    let valid_bytes = match tail {
         TailState::Clean => bytes.len() as u64,
         TailState::Torn(offset) => offset,
         TailState::Damaged(offset) => {
-            let reason = "a record lost its checksum but later ones are whole";
+            let reason = "a record is damaged, but later records are intact";
             return DamagedSnafu { path, offset, reason }.fail();
         }
     };
     for record in records {
         replay(state, record);
     }
-    Ok(kept)
+    Ok(valid_bytes)
 }
 
 fn write_checkpoint(
@@ -240,7 +241,7 @@
     let checkpoint =
         Checkpoint { hard_state, snapshot: snapshot.clone(), entries: entries.to_vec() };
     let name = format!("{CHECKPOINT_PREFIX}{sequence}");
-    write_synced(folder, &name, &encode_record(&checkpoint))?;
+    write_atomically(folder, &name, &encode_record(&checkpoint))?;
     Ok(log)
 }
 
@@ -266,9 +267,9 @@
         let bytes = encode_record(&record);
         let path = self.folder.join(format!("{LOG_PREFIX}{}", self.sequence));
         if let Err(source) = self.log.write_all(&bytes) {
-            // What was written of the record must not stand in front of the next one.
-            let cut = self.log.set_len(self.log_bytes);
-            cut.context(IoSnafu { action: "truncate", path: &path })?;
+            // A partially written record must not precede the next one.
+            let truncated = self.log.set_len(self.log_bytes);
+            truncated.context(IoSnafu { action: "truncate", path: &path })?;
             return Err(source).context(IoSnafu { action: "write", path: &path });
         }
         sync_data(&self.log, &path)?;
@@ -282,11 +283,11 @@
         snapshot: &Snapshot,
         entries: &[Entry],
     ) -> Result<(), StorageError> {
-        let next = self.sequence + 1;
-        self.log = write_checkpoint(&self.folder, next, hard_state, snapshot, entries)?;
-        self.sequence = next;
+        let next_sequence = self.sequence + 1;
+        self.log = write_checkpoint(&self.folder, next_sequence, hard_state, snapshot, entries)?;
+        self.sequence = next_sequence;
         self.log_bytes = 0;
-        remove_older(&self.folder, next)
+        remove_older(&self.folder, next_sequence)
     }
 
     fn bytes_since_checkpoint(&self) -> u64 {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,9 @@
 //! Durable state of one member of a replicated group.
 //!
-//! A store holds a *checkpoint* (snapshot, hard state and the entries kept at that time) and an
-//! append-only *log* of what was saved since. Everything a `save` was given is on disk, synced,
-//! when it returns; a failed sync is fatal to the process and never retried, because the kernel
-//! may have dropped the dirty pages.
+//! A store consists of a *checkpoint* (snapshot, hard state and the entries retained at that time)
+//! and an append-only *log* of everything saved since. When `save` returns, its data is written and
+//! synced. A failed sync is fatal to the process and never retried, because the kernel may have
+//! dropped the dirty pages.
 #![forbid(unsafe_code)]
 
 mod disk;
@@ -20,75 +20,76 @@
 use std::io::ErrorKind;
 use std::path::PathBuf;
 
-/// What recovery found.
+/// State recovered from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
     /// Term and vote.
     pub hard_state: HardState,
     /// Latest snapshot.
     pub snapshot: Snapshot,
-    /// Entries kept, oldest first; some may be covered by the snapshot.
+    /// Retained entries, oldest first; some may be covered by the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Errors of the store; all but [`StorageError::is_full`] are fatal to the member that meets them.
+/// Errors of a store. All are fatal to the member, except those for which
+/// [`StorageError::is_full`] is true.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The operating system refused.
+    /// An I/O operation failed.
     #[snafu(display("cannot {action} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation.
         action: &'static str,
-        /// On which file.
+        /// File or folder of the operation.
         path: PathBuf,
-        /// Why it failed.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A record in the middle of a file does not have its checksum.
+    /// A file contains a damaged record that a torn write does not explain.
     #[snafu(display("{} is damaged at byte {offset}: {reason}", path.display()))]
     Damaged {
-        /// Which file.
+        /// The damaged file.
         path: PathBuf,
-        /// Where the damaged record begins.
+        /// Byte offset of the damaged record.
         offset: u64,
-        /// What is wrong with it.
+        /// Description of the damage.
         reason: &'static str,
     },
-    /// The folder belongs to another member, group or fleet.
+    /// The folder belongs to another member or fleet.
     #[snafu(display(
         "{} belongs to {found}, not to {expected}; a member never takes over another's data",
         path.display()
     ))]
     WrongOwner {
-        /// Which folder.
+        /// The data folder.
         path: PathBuf,
-        /// Owner recorded in it.
+        /// Owner recorded in the folder.
         found: FolderIdentity,
-        /// Owner that tried to open it.
+        /// Member that tried to open it.
         expected: FolderIdentity,
     },
-    /// The folder is empty although the member should have data.
+    /// The folder holds no data although the member should have some.
     #[snafu(display(
         "{} is empty: a member whose disk was lost returns under a new id, as a learner \
          (start it with --join), and only a new fleet is started with --bootstrap",
         path.display()
     ))]
     EmptyFolder {
-        /// Which folder.
+        /// The data folder.
         path: PathBuf,
     },
-    /// Another process holds the folder.
+    /// The folder is locked by another process.
     #[snafu(display("{} is in use by another process", path.display()))]
     Locked {
-        /// Which folder.
+        /// The data folder.
         path: PathBuf,
     },
 }
 
 impl StorageError {
-    /// Whether there was no room for a write. Nothing of it is kept, and it may be tried again;
-    /// every other error leaves open what is on the disk.
+    /// Whether a write failed because the disk is full. Nothing of that write is kept, and it may be
+    /// retried. After any other error the content of the disk is uncertain.
     pub fn is_full(&self) -> bool {
         match self {
             Self::Io { action: "write", source, .. } => {
@@ -101,14 +102,15 @@
 
 /// Durable storage of one member.
 pub trait LogStore {
-    /// Saves and syncs, or keeps nothing of it when the store is full; entries at or below the stored last index replace the stored tail.
+    /// Saves and syncs the hard state and entries; keeps nothing of them if the disk is full. The
+    /// entries replace stored entries from the first index on.
     fn save(
         &mut self,
         hard_state: Option<HardState>,
         entries: &[Entry],
     ) -> Result<(), StorageError>;
 
-    /// Replaces everything by a snapshot, the hard state and the entries kept.
+    /// Replaces the content of the store by a snapshot, the hard state and the retained entries.
     fn checkpoint(
         &mut self,
         hard_state: HardState,
@@ -116,11 +118,11 @@
         entries: &[Entry],
     ) -> Result<(), StorageError>;
 
-    /// Bytes saved since the last checkpoint; the driver compacts when it grows.
+    /// Number of bytes saved since the last checkpoint. The driver compacts when it grows too large.
     fn bytes_since_checkpoint(&self) -> u64;
 }
 
-/// Applies a saved record to the state being rebuilt.
+/// Applies a saved record to the state being recovered.
 pub(crate) fn replay(state: &mut Recovered, record: Record) {
     if let Some(hard_state) = record.hard_state {
         state.hard_state = hard_state;
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,33 +1,34 @@
-//! A store in memory for simulation, which can lose what a crash would lose.
+//! An in-memory store for simulation, which can simulate the data loss of a crash.
 
 use crate::record::{decode_records, encode_record, Record};
 use crate::{replay, LogStore, Recovered, StorageError};
 use consensus::{Entry, HardState, Snapshot};
 
-/// Where a simulated crash strikes.
+/// When a simulated crash happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Between two saves: nothing that was saved is lost.
+    /// Between two saves; no saved data is lost.
     Clean,
-    /// During the last write: only this many of its bytes reached the disk.
+    /// During a save, whose record is only partially written.
     DuringSave {
-        /// Bytes of the unfinished record that survive.
+        /// Number of bytes of the record that are on the disk after the crash.
         bytes: usize,
     },
 }
 
-/// A disk in memory. `synced` survives a crash, `unsynced` does not.
+/// A simulated disk. `synced` survives a crash, `unsynced` does not.
 #[derive(Clone, Debug)]
 pub struct MemoryStore {
     checkpoint: Recovered,
     synced: Vec<u8>,
     unsynced: Vec<u8>,
-    /// Broken variant: reports success before data is durable.
+    /// Whether success is reported before the data is durable, to verify that the simulator's checks
+    /// detect it.
     acknowledges_unsynced: bool,
 }
 
 impl MemoryStore {
-    /// A new disk with the fleet's first snapshot.
+    /// Creates a store with an initial snapshot.
     pub fn new(snapshot: Snapshot) -> Self {
         let checkpoint =
             Recovered { hard_state: HardState::default(), snapshot, entries: Vec::new() };
@@ -39,22 +40,23 @@
         }
     }
 
-    /// Makes the disk report success early; checkers must notice.
+    /// Makes the store report success before the data is durable. The simulator's checks must detect
+    /// the resulting data loss.
     pub fn acknowledge_unsynced(&mut self) {
         self.acknowledges_unsynced = true;
     }
 
-    /// What a process finds on this disk after a crash at `point` while saving `record`.
+    /// Simulates a crash at `point`, while saving `record` if given.
     pub fn crash(&mut self, point: CrashPoint, record: Option<&Record>) {
         self.unsynced.clear();
         if let (CrashPoint::DuringSave { bytes }, Some(record)) = (point, record) {
             let encoded = encode_record(record);
-            let kept = bytes.min(encoded.len());
-            self.synced.extend_from_slice(&encoded[..kept]);
+            let written = bytes.min(encoded.len());
+            self.synced.extend_from_slice(&encoded[..written]);
         }
     }
 
-    /// Recovers, cutting a torn tail as the disk store does.
+    /// Recovers the stored state, truncating a torn tail as the disk store does.
     pub fn recover(&mut self) -> Recovered {
         let (records, tail) = decode_records::<Record>(&self.synced);
         if let crate::TailState::Torn(offset) = tail {
@@ -77,7 +79,7 @@
         let record = Record { hard_state, entries: entries.to_vec() };
         let encoded = encode_record(&record);
         if self.acknowledges_unsynced {
-            // What was written before is synced by the next write, as a real disk would in time.
+            // Each write makes the previous one durable, as a real disk would after some time.
             self.synced.append(&mut self.unsynced);
             self.unsynced = encoded;
         } else {
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,17 +1,17 @@
-//! One saved batch as bytes: length, checksum, payload.
+//! Encoding of records: length, checksum and payload.
 
 use consensus::{Entry, HardState};
 use speedy::{Readable, Writable};
 
-/// Bytes before the payload: length and CRC-32, both little-endian `u32`.
+/// Size of the header in bytes: length and CRC-32 of the payload, both little-endian `u32`.
 const HEADER_BYTES: usize = 8;
-/// Longest payload that is believed; a larger length means damage.
+/// Maximum payload size in bytes; a larger length field is treated as damage.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024 * 1024;
 
-/// What one `save` wrote.
+/// Data of one `save`.
 #[derive(Clone, Debug, Default, PartialEq, Readable, Writable)]
 pub struct Record {
-    /// New hard state, if it changed.
+    /// New hard state, if changed.
     pub hard_state: Option<HardState>,
     /// Entries saved.
     pub entries: Vec<Entry>,
@@ -20,11 +20,11 @@
 /// How a file of records ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TailState {
-    /// The last record is whole.
+    /// The last record is intact.
     Clean,
-    /// The file ends in an unfinished record that begins at this byte: a torn write.
+    /// The file ends with an incomplete record at this byte offset, caused by a torn write.
     Torn(u64),
-    /// A damaged record at this byte is followed by a whole one: not a torn write.
+    /// The record at this byte offset is damaged, but an intact one follows, so it is no torn write.
     Damaged(u64),
 }
 
@@ -38,7 +38,8 @@
     bytes
 }
 
-/// Decodes all whole records, and tells how the bytes end.
+/// Decodes all records before the first damaged or incomplete one, and classifies the end of the
+/// data.
 pub fn decode_records<T>(bytes: &[u8]) -> (Vec<T>, TailState)
 where
     T: for<'a> Readable<'a, speedy::LittleEndian>,
@@ -51,7 +52,7 @@
                 records.push(record);
                 offset = next;
             }
-            None if whole_record_after::<T>(bytes, offset) => {
+            None if intact_record_after::<T>(bytes, offset) => {
                 return (records, TailState::Damaged(offset as u64));
             }
             None => return (records, TailState::Torn(offset as u64)),
@@ -78,12 +79,12 @@
     T::read_from_buffer(payload).ok().map(|record| (record, start + length))
 }
 
-/// Looks for a whole record after a bad one: records are synced in order, so one can only stand
-/// there if the bad one was once whole too.
-fn whole_record_after<T>(bytes: &[u8], bad: usize) -> bool
+/// Whether an intact record follows a damaged one. Records are synced in order, so an intact record can
+/// follow only if the damaged one was once intact too.
+fn intact_record_after<T>(bytes: &[u8], damaged_offset: usize) -> bool
 where
     T: for<'a> Readable<'a, speedy::LittleEndian>,
 {
-    (bad + 1..bytes.len().saturating_sub(HEADER_BYTES))
+    (damaged_offset + 1..bytes.len().saturating_sub(HEADER_BYTES))
         .any(|offset| decode_at::<T>(bytes, offset).is_some())
 }
--- a/crates/storage/src/sync.rs
+++ b/crates/storage/src/sync.rs
@@ -1,4 +1,5 @@
-//! Syncs of files and folders, and a line when one takes long: whatever waits for it waits as well.
+//! Syncs of files and folders. Slow syncs are logged, because everything that waits for the data to be
+//! durable is delayed by them.
 
 use crate::{IoSnafu, StorageError};
 use snafu::ResultExt;
@@ -8,25 +9,25 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A sync of a sound disk takes some milliseconds.
-const SLOW: Duration = Duration::from_secs(1);
+/// Duration from which a sync is logged as slow. A sync of a healthy disk takes some milliseconds.
+const SLOW_SYNC: Duration = Duration::from_secs(1);
 
-/// Syncs a file, or a folder, with all that is told of it.
+/// Syncs the content and metadata of a file or folder.
 pub(crate) fn sync_all(file: &File, path: &Path) -> Result<(), StorageError> {
     timed(path, || file.sync_all())
 }
 
-/// Syncs what a file holds.
+/// Syncs the content of a file.
 pub(crate) fn sync_data(file: &File, path: &Path) -> Result<(), StorageError> {
     timed(path, || file.sync_data())
 }
 
 fn timed(path: &Path, sync: impl FnOnce() -> io::Result<()>) -> Result<(), StorageError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     sync().context(IoSnafu { action: "sync", path })?;
-    let took = begun.elapsed();
-    if took >= SLOW {
-        warn!(path = %path.display(), took_ms = took.as_millis() as u64, "disk_sync_slow");
+    let elapsed = started.elapsed();
+    if elapsed >= SLOW_SYNC {
+        warn!(path = %path.display(), took_ms = elapsed.as_millis() as u64, "disk_sync_slow");
     }
     Ok(())
 }
--- a/crates/storage/tests/disk.rs
+++ b/crates/storage/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Crashes at every byte of the log, damage in the middle, and folders of others.
+//! Crashes at every byte of the log, damaged records, checkpoints, and ownership of data folders.
 
 use consensus::{Entry, HardState, Membership, Payload, Snapshot, SnapshotMeta};
 use std::fs;
@@ -16,8 +16,8 @@
     Entry { term: 1, index, payload: Payload::Command(vec![index as u8; index as usize * 7]) }
 }
 
-/// Saves one entry at a time; returns what recovery must find after each save, with the log's
-/// length then.
+/// Saves one entry at a time. Returns the length of the log and the expected recovered state after
+/// each save, starting before the first.
 fn saved_store(folder: &Path) -> Vec<(u64, Recovered)> {
     let (mut store, mut state) = DiskStore::open(folder, first_snapshot()).unwrap();
     let mut states = vec![(0, state.clone())];
@@ -46,13 +46,13 @@
         fs::write(crashed.path().join("checkpoint-1"), &checkpoint).unwrap();
         fs::write(log_file(crashed.path()), &log[..length]).unwrap();
         let (mut store, recovered) = DiskStore::open(crashed.path(), first_snapshot()).unwrap();
-        let finished = states.iter().rev().find(|(bytes, _)| *bytes <= length as u64).unwrap();
-        assert_eq!(recovered, finished.1, "after a crash at byte {length}");
-        // What is saved after recovery must not stand behind the torn bytes.
+        let last_save = states.iter().rev().find(|(bytes, _)| *bytes <= length as u64).unwrap();
+        assert_eq!(recovered, last_save.1, "after a crash at byte {length}");
+        // A record saved after recovery must not follow the torn bytes.
         store.save(None, &[entry(99)]).unwrap();
         drop(store);
-        let (_, again) = DiskStore::open(crashed.path(), first_snapshot()).unwrap();
-        assert_eq!(again.entries.last(), Some(&entry(99)));
+        let (_, reopened) = DiskStore::open(crashed.path(), first_snapshot()).unwrap();
+        assert_eq!(reopened.entries.last(), Some(&entry(99)));
     }
 }
 
@@ -78,7 +78,7 @@
 fn a_crash_before_a_checkpoint_is_renamed_leaves_the_old_state() {
     let folder = tempfile::tempdir().unwrap();
     let states = saved_store(folder.path());
-    fs::write(folder.path().join("checkpoint-2.tmp"), b"half of a checkpoint").unwrap();
+    fs::write(folder.path().join("checkpoint-2.tmp"), b"incomplete checkpoint").unwrap();
     fs::write(folder.path().join("log-2"), b"").unwrap();
     let (_, recovered) = DiskStore::open(folder.path(), first_snapshot()).unwrap();
     assert_eq!(recovered, states.last().unwrap().1);
@@ -96,7 +96,7 @@
         }
     }
     let files = fs::read_dir(folder.path()).unwrap().count();
-    assert_eq!(files, 2, "one checkpoint and one log");
+    assert_eq!(files, 2, "only one checkpoint and one log remain");
     drop(store);
     let (_, recovered) = DiskStore::open(folder.path(), first_snapshot()).unwrap();
     assert_eq!(recovered, state);
@@ -109,10 +109,10 @@
     let path = folder.path().join("data");
     let empty = open_data_folder(&path, &identity(1), false);
     assert!(matches!(empty, Err(StorageError::EmptyFolder { .. })));
-    let held = open_data_folder(&path, &identity(1), true).unwrap();
+    let open_folder = open_data_folder(&path, &identity(1), true).unwrap();
     let second = open_data_folder(&path, &identity(1), false);
     assert!(matches!(second, Err(StorageError::Locked { .. })));
-    drop(held);
+    drop(open_folder);
     let other = open_data_folder(&path, &identity(2), false);
     assert!(matches!(other, Err(StorageError::WrongOwner { .. })));
     open_data_folder(&path, &identity(1), false).unwrap();
@@ -124,7 +124,7 @@
     let (mut store, mut state) = DiskStore::open(folder.path(), first_snapshot()).unwrap();
     store.save(None, &[entry(1)]).unwrap();
     state.entries.push(entry(1));
-    // This device cannot be synced, as a disk that fails.
+    // This device cannot be synced, which simulates a failing disk.
     let next_log = folder.path().join("log-2");
     std::os::unix::fs::symlink("/dev/full", &next_log).unwrap();
     let error = store.checkpoint(state.hard_state, &state.snapshot, &[]).unwrap_err();
