--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -157,7 +157,7 @@
         self.persisted = self.persisted.max(meta.index);
     }
 
-    /// Records a snapshot taken by the driver, and drops entries more than [`RETAINED_ENTRIES`] before
+    /// Records a snapshot taken by the driver, and drops entries more than `RETAINED_ENTRIES` before
     /// it.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let index = snapshot.meta.index;
