--- a/crates/control/src/address_book.rs
+++ b/crates/control/src/address_book.rs
@@ -1,4 +1,4 @@
-//! Addresses of the replicas, read again when the settings file changes.
+//! Addresses of the replicas, reloaded when the settings file changes.
 
 use settings::{ControlSettings, PeerSettings};
 use std::collections::BTreeMap;
@@ -6,24 +6,24 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::SystemTime;
 
-/// Where each replica is reached.
+/// Network addresses of all replicas by member id.
 #[derive(Debug)]
 pub(crate) struct AddressBook {
     path: Option<PathBuf>,
-    peers: Mutex<Known>,
+    peers: Mutex<PeerTable>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct PeerTable {
     by_id: BTreeMap<u64, PeerSettings>,
     modified: Option<SystemTime>,
 }
 
 impl AddressBook {
     pub fn new(settings: &ControlSettings, path: Option<PathBuf>) -> Self {
-        let by_id = index(&settings.peer);
+        let by_id = index_by_id(&settings.peer);
         let modified = path.as_deref().and_then(modification_time);
-        AddressBook { path, peers: Mutex::new(Known { by_id, modified }) }
+        AddressBook { path, peers: Mutex::new(PeerTable { by_id, modified }) }
     }
 
     pub fn get(&self, id: u64) -> Option<PeerSettings> {
@@ -34,7 +34,7 @@
         self.lock().by_id.keys().copied().collect()
     }
 
-    /// Reads the settings file again if it changed; true if it did.
+    /// Reloads the settings file if its modification time changed; returns whether it did.
     pub fn reload_if_changed(&self) -> Result<bool, settings::SettingsError> {
         let Some(path) = &self.path else {
             return Ok(false);
@@ -45,16 +45,16 @@
         }
         self.lock().modified = modified;
         let settings: ControlSettings = settings::load(path, &[])?;
-        self.lock().by_id = index(&settings.peer);
+        self.lock().by_id = index_by_id(&settings.peer);
         Ok(true)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Known> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, PeerTable> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn index(peers: &[PeerSettings]) -> BTreeMap<u64, PeerSettings> {
+fn index_by_id(peers: &[PeerSettings]) -> BTreeMap<u64, PeerSettings> {
     peers.iter().map(|peer| (peer.id, peer.clone())).collect()
 }
 
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface; docs/API.md describes it.
+//! HTTP API for operators, described in docs/API.md.
 
 use crate::address_book::AddressBook;
 use crate::authentication::OperatorDirectory;
@@ -8,7 +8,7 @@
 };
 use crate::members::{change_group, Groups, MemberChange as Change};
 use crate::replica::RequestError;
-use crate::spread::SpreadRecord;
+use crate::spread::SharedSpread;
 use bundle::{Approval, Digest, LIMITS};
 use consensus::Membership;
 use rollout::{Command, GenerationRecord, Refusal, Request, SpreadSummary, VersionSummary};
@@ -26,71 +26,71 @@
 
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// A compressed bundle is never longer than the bundle limit plus framing.
+/// Maximum size of a request body. A compressed bundle never exceeds the bundle limit plus framing.
 const MAX_BODY_BYTES: u64 = LIMITS.bundle_bytes as u64 + 64 * 1024;
 
-/// An error as JSON.
+/// Error response, encoded as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// Stable kind.
+    /// Stable error code.
     pub error: String,
-    /// For people.
+    /// Human-readable message.
     pub message: String,
     /// Whether the request may have taken effect.
     pub verdict: Verdict,
-    /// Where the leader's interface is, if it is known and elsewhere.
+    /// Address of the leader's API, if another member is known to lead.
     pub leader_api: Option<SocketAddr>,
 }
 
-/// Answer of `GET /v1/status`.
+/// Response of `GET /v1/status`.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusView {
-    /// Member that answered.
+    /// Id of the responding member.
     pub member: u64,
-    /// Its term.
+    /// Consensus term of the responding member.
     pub term: u64,
-    /// The newest generation accepted.
+    /// Newest accepted generation.
     pub newest_generation: u64,
-    /// The generation of proxies outside a rollout.
+    /// Generation served to proxies that are not part of a rollout.
     pub base_generation: u64,
-    /// The generation being rolled out.
+    /// Generation being rolled out, if any.
     pub candidate_generation: Option<u64>,
-    /// Stages reached and in all.
+    /// Number of stages reached and total number of stages.
     pub stages: Option<(u32, usize)>,
-    /// Whether the rollout waits for an operator.
+    /// Whether the rollout is paused until an operator resumes it.
     pub paused: bool,
-    /// How far each generation has spread.
+    /// Propagation of each generation through the fleet.
     pub spread: SpreadSummary,
 }
 
-/// Answer of `GET /v1/members`.
+/// Response of `GET /v1/members`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MembersView {
     /// Leader of the configuration group.
     pub leader: Option<u64>,
-    /// Voters.
+    /// Ids of the voting members.
     pub voters: Vec<u64>,
-    /// Learners.
+    /// Ids of the learners.
     pub learners: Vec<u64>,
-    /// How many log entries each peer still lacks, as the leader knows it.
+    /// Id of each peer with the number of log entries it is missing, as known to the leader.
     pub behind: Vec<(u64, u64)>,
 }
 
-/// What the interface needs.
+/// State of the operator API.
 pub(crate) struct OperatorApi {
     pub member_id: u64,
     pub listen: SocketAddr,
     pub groups: Groups,
     pub operators: OperatorDirectory,
     pub addresses: Arc<AddressBook>,
-    pub spread: SpreadRecord,
+    pub spread: SharedSpread,
     pub clock: Clock,
     pub requests: Arc<RequestCounter>,
 }
 
 type ApiResult = Result<Response, (u16, ApiError)>;
 
-/// Starts the interface; returns the address in use.
+/// Starts the API server; returns the bound address.
 pub(crate) fn spawn(
     api: Arc<OperatorApi>,
 ) -> Result<SocketAddr, Box<dyn std::error::Error + Send + Sync>> {
@@ -102,7 +102,7 @@
 }
 
 fn handle(api: &OperatorApi, request: &rouille::Request) -> Response {
-    let _place = api.requests.enter();
+    let _in_flight = api.requests.enter();
     let result = read_body(request).and_then(|body| route(api, request, &body));
     result.unwrap_or_else(|(status, error)| {
         let verdict = error.verdict.as_str();
@@ -124,7 +124,11 @@
     let read = reader.take(MAX_BODY_BYTES + 1).read_to_end(&mut body);
     read.map_err(|cause| error(400, "body_unreadable", cause))?;
     if body.len() as u64 > MAX_BODY_BYTES {
-        return Err(error(413, "body_too_large", format!("at most {MAX_BODY_BYTES} bytes")));
+        return Err(error(
+            413,
+            "body_too_large",
+            format!("the request body exceeds {MAX_BODY_BYTES} bytes"),
+        ));
     }
     Ok(body)
 }
@@ -139,15 +143,15 @@
                 .ok_or_else(|| error(400, "bad_version", "?version= must be a whole number"))?;
             execute(api, request, Command::Submit { version, compressed: body.to_vec() })
         }
-        ("POST", "/v1/commands") => command(api, request, body),
+        ("POST", "/v1/commands") => run_command(api, request, body),
         ("POST", "/v1/members") => change_members(api, request, body),
-        ("GET", "/v1/status") => read(api, request, body, status),
-        ("GET", "/v1/bundles") => read(api, request, body, list_bundles),
-        ("GET", "/v1/history") => read(api, request, body, list_history),
-        ("GET", "/v1/members") => read(api, request, body, list_members),
+        ("GET", "/v1/status") => confirmed_read(api, request, body, status),
+        ("GET", "/v1/bundles") => confirmed_read(api, request, body, list_bundles),
+        ("GET", "/v1/history") => confirmed_read(api, request, body, list_history),
+        ("GET", "/v1/members") => confirmed_read(api, request, body, list_members),
         ("GET", path) if path.starts_with("/v1/bundles/") => {
             let digest = path.trim_start_matches("/v1/bundles/").to_owned();
-            read(api, request, body, move |api| show_bundle(api, &digest))
+            confirmed_read(api, request, body, move |api| show_bundle(api, &digest))
         }
         _ => Err(error(404, "no_such_path", "see docs/API.md")),
     }
@@ -176,7 +180,7 @@
     })
 }
 
-fn command(api: &OperatorApi, request: &rouille::Request, body: &[u8]) -> ApiResult {
+fn run_command(api: &OperatorApi, request: &rouille::Request, body: &[u8]) -> ApiResult {
     let command: Command =
         serde_json::from_slice(body).map_err(|cause| error(400, "bad_command", cause))?;
     let role = match &command {
@@ -209,12 +213,12 @@
         }
         Err(refusal) => {
             info!(%operator, refusal = %refusal, "command_refused");
-            Err(refused(&refusal))
+            Err(refusal_error(&refusal))
         }
     }
 }
 
-fn refused(refusal: &Refusal) -> (u16, ApiError) {
+fn refusal_error(refusal: &Refusal) -> (u16, ApiError) {
     let kind = serde_json::to_value(refusal).ok();
     let kind = kind.as_ref().and_then(|value| value.get("kind")).and_then(|kind| kind.as_str());
     let (status, mut body) = error(409, kind.unwrap_or("refused"), refusal);
@@ -236,17 +240,17 @@
     (status, body)
 }
 
-/// Answers a read from the leader, after a quorum confirmed that it is current.
-fn read(
+/// Serves a read on the leader after a quorum has confirmed its leadership.
+fn confirmed_read(
     api: &OperatorApi,
     request: &rouille::Request,
     body: &[u8],
-    answer: impl FnOnce(&OperatorApi) -> ApiResult,
+    respond: impl FnOnce(&OperatorApi) -> ApiResult,
 ) -> ApiResult {
     authenticate(api, request, body, None)?;
     let confirmed = api.groups.config.read(READ_TIMEOUT);
     confirmed.map_err(|cause| request_error(api, &cause))?;
-    answer(api)
+    respond(api)
 }
 
 fn status(api: &OperatorApi) -> ApiResult {
@@ -259,7 +263,7 @@
         term: published.status.term,
         newest_generation: machine.newest_generation(),
         base_generation: view.base.generation,
-        candidate_generation: view.candidate.as_ref().map(|found| found.target.generation),
+        candidate_generation: view.candidate.as_ref().map(|candidate| candidate.target.generation),
         stages: machine.rollout_stages(),
         paused: machine.paused(),
         spread,
@@ -277,10 +281,10 @@
     Ok(Response::json(&history))
 }
 
-/// One object of a bundle as operators see it; secrets only by name.
+/// A bundle object as shown to operators; secrets are shown without their value.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
-enum ShownObject<'a> {
+enum ObjectView<'a> {
     Service(&'a bundle::Service),
     Route(&'a bundle::Route),
     Secret {
@@ -288,7 +292,7 @@
         key_id: u32,
     },
     Limits(&'a bundle::CallLimits),
-    /// Its keys are secrets: they are shown by their fingerprints.
+    /// Keys are secret, so only their fingerprints are shown.
     Tenant {
         name: &'a str,
         keys: Vec<String>,
@@ -302,20 +306,20 @@
     let digest: Digest = digest.parse().map_err(|cause| error(400, "bad_digest", cause))?;
     let published = api.groups.config.lock();
     let stored = published.machine.0.bundle(&digest);
-    let stored = stored.ok_or_else(|| error(404, "unknown_bundle", "no such bundle"))?;
-    let objects = stored.bundle.objects().values().map(|hashed| shown(&hashed.object));
+    let stored = stored.ok_or_else(|| error(404, "unknown_bundle", "no bundle has this digest"))?;
+    let objects = stored.bundle.objects().values().map(|hashed| object_view(&hashed.object));
     Ok(Response::json(&objects.collect::<Vec<_>>()))
 }
 
-fn shown(object: &bundle::Object) -> ShownObject<'_> {
+fn object_view(object: &bundle::Object) -> ObjectView<'_> {
     match object {
-        bundle::Object::Service(service) => ShownObject::Service(service),
-        bundle::Object::Route(route) => ShownObject::Route(route),
+        bundle::Object::Service(service) => ObjectView::Service(service),
+        bundle::Object::Route(route) => ObjectView::Route(route),
         bundle::Object::Secret(secret) => {
-            ShownObject::Secret { name: &secret.name, key_id: secret.key_id }
+            ObjectView::Secret { name: &secret.name, key_id: secret.key_id }
         }
-        bundle::Object::Limits(limits) => ShownObject::Limits(limits),
-        bundle::Object::Tenant(tenant) => ShownObject::Tenant {
+        bundle::Object::Limits(limits) => ObjectView::Limits(limits),
+        bundle::Object::Tenant(tenant) => ObjectView::Tenant {
             name: &tenant.name,
             keys: tenant.fingerprints().iter().map(ToString::to_string).collect(),
             rate_milli: tenant.rate_milli,
@@ -328,8 +332,12 @@
 fn list_members(api: &OperatorApi) -> ApiResult {
     let published = api.groups.config.lock();
     let status = &published.status;
-    let last = status.applied;
-    let behind = status.matched.iter().map(|(id, at)| (*id, last.saturating_sub(*at))).collect();
+    let applied = status.applied;
+    let behind = status
+        .matched
+        .iter()
+        .map(|(id, matched)| (*id, applied.saturating_sub(*matched)))
+        .collect();
     Ok(Response::json(&members_view(&status.membership, status.leader, behind)))
 }
 
@@ -357,7 +365,8 @@
     let body: Body =
         serde_json::from_slice(body).map_err(|cause| error(400, "bad_change", cause))?;
     if let Change::AddLearner(id) | Change::Promote(id) = body.change {
-        // The operator has just listed the newcomer; do not wait for the next look at the file.
+        // The operator may just have added the member to the settings file; reload it now instead of
+        // waiting for the next periodic check.
         let reloaded = api.addresses.reload_if_changed();
         reloaded.map_err(|cause| error(500, "settings_unreadable", cause))?;
         if api.addresses.get(id).is_none() {
@@ -365,12 +374,12 @@
             return Err(error(409, "unknown_member", message));
         }
     }
-    // Each group has its own leader; the operator's tool goes from group to group.
+    // Each group has its own leader, so the operator's tool sends one request per group.
     let changed = match body.group {
         0 => change_group(&api.groups.config, body.change),
         group => match api.groups.claims.get(group as usize - 1) {
             Some(replica) => change_group(replica, body.change),
-            None => return Err(error(404, "no_such_group", "no such group")),
+            None => return Err(error(404, "no_such_group", "no claim group has this number")),
         },
     };
     changed.map_err(|cause| request_error(api, &cause))?;
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -1,4 +1,4 @@
-//! Who an operator's request comes from, and what that operator may do.
+//! Authentication and authorization of operator requests.
 
 use bundle::{ApprovalError, Digest, OperatorKeys};
 use settings::{OperatorEntry, SettingsError};
@@ -6,61 +6,63 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Header with the operator's name.
+/// Header that carries the operator's name.
 pub const OPERATOR_HEADER: &str = "X-Chutecove-Operator";
-/// Header with the id that makes a resend harmless.
+/// Header that carries the request id, which makes a repeated request idempotent.
 pub const REQUEST_ID_HEADER: &str = "X-Chutecove-Request-Id";
-/// Header with the time of signing, seconds since 1970.
+/// Header that carries the signing time, in seconds since the Unix epoch.
 pub const TIME_HEADER: &str = "X-Chutecove-Time";
-/// Header with the Ed25519 signature, hexadecimal.
+/// Header that carries the Ed25519 signature, in hexadecimal.
 pub const SIGNATURE_HEADER: &str = "X-Chutecove-Signature";
 
-/// A signature older or newer than this is refused, seconds.
-const MAX_CLOCK_DIFFERENCE_S: u64 = 300;
-/// Domain separation from bundle approvals.
+/// Maximum difference between the signing time and the local clock, in seconds.
+const MAX_CLOCK_SKEW_S: u64 = 300;
+/// Domain separation: a request signature is never valid as a bundle approval.
 const REQUEST_CONTEXT: &str = "chutecove operator request v1";
 
-/// Why a request was not let in; it has not run.
+/// Reason a request was rejected before execution.
 #[derive(Debug, Snafu)]
 pub enum AuthenticationError {
-    /// A header is missing.
+    /// A required header is missing.
     #[snafu(display("header {header} is missing"))]
     Missing {
-        /// Which.
+        /// Name of the header.
         header: &'static str,
     },
-    /// A header cannot be read.
-    #[snafu(display("header {header} cannot be read"))]
+    /// The value of a header cannot be parsed.
+    #[snafu(display("header {header} is malformed"))]
     Malformed {
-        /// Which.
+        /// Name of the header.
         header: &'static str,
     },
-    /// Signed too long ago, or the clocks differ.
-    #[snafu(display("the signature's time differs by more than {MAX_CLOCK_DIFFERENCE_S} s"))]
+    /// The signing time is too far from the local clock.
+    #[snafu(display(
+        "the signing time differs from the server's clock by more than {MAX_CLOCK_SKEW_S} s"
+    ))]
     Expired,
-    /// The signature is not the operator's.
+    /// The signature could not be verified.
     #[snafu(display("{source}"))]
     Signature {
-        /// Cause.
+        /// Underlying error.
         source: ApprovalError,
     },
-    /// The operator may not do this.
+    /// The operator lacks the required role.
     #[snafu(display("operator '{operator}' does not have the role '{role}'"))]
     Forbidden {
-        /// Who.
+        /// Name of the operator.
         operator: String,
-        /// What it takes.
+        /// Required role.
         role: &'static str,
     },
-    /// The list of operators cannot be read.
+    /// The operators file could not be loaded.
     #[snafu(display("{source}"))]
     Operators {
-        /// Cause.
+        /// Underlying error.
         source: SettingsError,
     },
 }
 
-/// The text an operator signs for a request.
+/// Builds the message that an operator signs for a request.
 pub fn signing_message(
     method: &str,
     path: &str,
@@ -74,13 +76,13 @@
         .into_bytes()
 }
 
-/// The operators listed in a file, read for each request so that changes count at once.
+/// Operators listed in a file, which is read for each request so that changes take effect at once.
 #[derive(Clone, Debug)]
 pub struct OperatorDirectory {
     path: PathBuf,
 }
 
-/// A request as it arrived.
+/// The parts of an incoming HTTP request that authentication uses.
 pub(crate) struct IncomingRequest<'a> {
     pub method: &'a str,
     pub path: &'a str,
@@ -92,17 +94,17 @@
 }
 
 impl OperatorDirectory {
-    /// Uses a list of operators.
+    /// Creates a directory that reads the operators file at `path`.
     pub fn new(path: PathBuf) -> Self {
         OperatorDirectory { path }
     }
 
-    /// Checks that the list can be read.
+    /// Checks that the operators file can be loaded.
     pub fn check(&self) -> Result<(), SettingsError> {
         settings::load_operators(&self.path).map(|_| ())
     }
 
-    /// Checks a request's signature and the operator's role; `None` asks for no role.
+    /// Verifies the signature of a request and, if `role` is given, that the operator has that role.
     pub(crate) fn authenticate(
         &self,
         request: &IncomingRequest<'_>,
@@ -115,41 +117,42 @@
         let signature = request.signature.context(MissingSnafu { header: SIGNATURE_HEADER })?;
         let signature =
             decode_hex(signature).context(MalformedSnafu { header: SIGNATURE_HEADER })?;
-        ensure!(unix_time_s().abs_diff(time_s) <= MAX_CLOCK_DIFFERENCE_S, ExpiredSnafu);
-        let listed = settings::load_operators(&self.path).context(OperatorsSnafu)?.operator;
-        let keys = operator_keys(&listed).context(SignatureSnafu)?;
+        ensure!(unix_time_s().abs_diff(time_s) <= MAX_CLOCK_SKEW_S, ExpiredSnafu);
+        let operators = settings::load_operators(&self.path).context(OperatorsSnafu)?.operator;
+        let keys = operator_keys(&operators).context(SignatureSnafu)?;
         let (method, path, body) = (request.method, request.path, request.body);
         let message = signing_message(method, path, operator, request_id, time_s, body);
         keys.verify(operator, &message, &signature).context(SignatureSnafu)?;
         let Some(role) = role else { return Ok(()) };
-        let entry = listed.iter().find(|entry| entry.name == operator);
-        let allowed = entry.is_some_and(|entry| entry.roles.iter().any(|held| held == role));
+        let entry = operators.iter().find(|entry| entry.name == operator);
+        let allowed =
+            entry.is_some_and(|entry| entry.roles.iter().any(|assigned| assigned == role));
         ensure!(allowed, ForbiddenSnafu { operator, role });
         Ok(())
     }
 
-    /// Checks an approver's signature over a bundle.
+    /// Verifies an operator's approval signature over a bundle digest.
     pub(crate) fn verify_approval(
         &self,
         digest: &Digest,
         approval: &bundle::Approval,
     ) -> Result<(), AuthenticationError> {
-        let listed = settings::load_operators(&self.path).context(OperatorsSnafu)?.operator;
-        let keys = operator_keys(&listed).context(SignatureSnafu)?;
+        let operators = settings::load_operators(&self.path).context(OperatorsSnafu)?.operator;
+        let keys = operator_keys(&operators).context(SignatureSnafu)?;
         keys.verify_approval(digest, approval).context(SignatureSnafu)
     }
 }
 
-fn operator_keys(listed: &[OperatorEntry]) -> Result<OperatorKeys, ApprovalError> {
+fn operator_keys(operators: &[OperatorEntry]) -> Result<OperatorKeys, ApprovalError> {
     let mut keys = OperatorKeys::default();
-    for entry in listed {
+    for entry in operators {
         keys.insert_hex(&entry.name, &entry.public_key)?;
     }
     Ok(keys)
 }
 
 fn unix_time_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_secs())
 }
 
 fn decode_hex(text: &str) -> Option<Vec<u8>> {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! The control source: replicated configuration and claims, served to relays and operators.
+//! Control plane: replicates the configuration and idempotency claims and serves them to relays and
+//! operators.
 //!
 //! One process hosts several independent consensus groups: group 0 holds the configuration,
-//! groups from 1 hold claims. Each is a [`Replica`] with its own thread, store and log.
+//! groups 1 and up hold claims. Each group has a [`Replica`] with its own thread, store and log.
 #![forbid(unsafe_code)]
 
 mod address_book;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! What a group replicates.
+//! State machines replicated by the consensus groups.
 
 use claims::{ClaimAnswer, ClaimCommand, ClaimMachine};
 use rollout::{Answer, ConfigMachine, Request};
@@ -6,22 +6,22 @@
 
 /// A deterministic state machine behind a replicated log.
 pub trait StateMachine: Send + 'static {
-    /// What is proposed.
+    /// Command replicated through the log.
     type Command: Writable<speedy::LittleEndian> + for<'a> Readable<'a, speedy::LittleEndian> + Send;
-    /// What a proposal is answered with.
+    /// Result of applying a command.
     type Answer: Send;
 
-    /// Applies a committed command.
+    /// Applies the committed command at log position `index`.
     fn apply(&mut self, index: u64, command: &Self::Command) -> Self::Answer;
-    /// The whole state.
+    /// Encodes the complete state for a snapshot.
     fn encode(&self) -> Vec<u8>;
-    /// Restores a whole state; empty bytes stand for the initial one.
+    /// Decodes a complete state; an empty slice decodes to the initial state.
     fn decode(bytes: &[u8]) -> Result<Self, speedy::Error>
     where
         Self: Sized;
 }
 
-/// The configuration.
+/// Replicated configuration state.
 #[derive(Debug, Default)]
 pub struct ConfigState(pub ConfigMachine);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// The claims of one group.
+/// Replicated claim state of one group.
 #[derive(Debug, Default)]
 pub struct ClaimState(pub ClaimMachine);
 
--- a/crates/control/src/members.rs
+++ b/crates/control/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership of all groups, changed one member at a time.
+//! Membership of the consensus groups, changed one member at a time.
 
 use crate::machine::{ClaimState, ConfigState, StateMachine};
 use crate::replica::{Replica, RequestError};
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use telemetry::BootInstant;
 
-/// Longest wait for a learner to catch up before it is promoted.
-const CATCH_UP_LIMIT: Duration = Duration::from_secs(20);
+/// Maximum time to wait for a learner to catch up before its promotion.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(20);
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One change of the members.
+/// A change of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MemberChange {
-    /// A new member receives the log without counting.
+    /// Adds a member that receives the log but does not vote.
     AddLearner(u64),
-    /// A learner that has caught up begins to count.
+    /// Promotes a learner that has caught up to a voter.
     Promote(u64),
-    /// A member is removed for good; its id is never used again.
+    /// Removes a member permanently; its id is never reused.
     Remove(u64),
 }
 
 impl MemberChange {
-    /// The membership after the change.
+    /// Returns the membership after this change.
     pub(crate) fn applied_to(self, membership: &Membership) -> Membership {
         let mut next = membership.clone();
         match self {
@@ -48,12 +48,13 @@
     }
 }
 
-/// Applies a change to one group, waiting for a learner to catch up.
+/// Applies a change to one group. While the group refuses it, for example because a learner has not
+/// caught up yet, retries until [`CATCH_UP_TIMEOUT`].
 pub(crate) fn change_group<M: StateMachine>(
     replica: &Replica<M>,
     change: MemberChange,
 ) -> Result<(), RequestError> {
-    let deadline = BootInstant::now() + CATCH_UP_LIMIT;
+    let deadline = BootInstant::now() + CATCH_UP_TIMEOUT;
     loop {
         let current = replica.lock().status.membership.clone();
         let next = change.applied_to(&current);
@@ -63,14 +64,14 @@
         match replica.change_membership(next, CHANGE_TIMEOUT) {
             Ok(_) => return Ok(()),
             Err(RequestError::Refused { .. }) if BootInstant::now() < deadline => {
-                std::thread::sleep(RETRY_PAUSE);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             Err(error) => return Err(error),
         }
     }
 }
 
-/// The groups hosted by one process.
+/// Consensus groups hosted by this process.
 #[derive(Clone)]
 pub(crate) struct Groups {
     pub config: Replica<ConfigState>,
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -1,4 +1,4 @@
-//! Drives one consensus group: saves, sends and applies what the core hands over.
+//! Replica of one consensus group: connects the Raft core to its store, peers and state machine.
 
 mod driver;
 
@@ -19,33 +19,33 @@
 /// Fixed parameters of one replica of one group.
 #[derive(Clone, Debug)]
 pub struct ReplicaParameters {
-    /// Name in logs.
+    /// Name of the group in logs.
     pub group: String,
-    /// Folder of its store.
+    /// Directory of the replica's store.
     pub folder: PathBuf,
     /// Consensus parameters.
     pub consensus: Config,
-    /// Membership of a new group; empty for a member that joins.
+    /// Initial membership of a new group; empty for a member that joins an existing group.
     pub initial: Membership,
-    /// Length of one tick.
+    /// Duration of one tick of the Raft core.
     pub tick: Duration,
-    /// Log size at which a checkpoint is made, bytes.
+    /// Log size that triggers a checkpoint, in bytes.
     pub checkpoint_bytes: u64,
 }
 
-/// Why a request to a replica has no answer.
+/// Reason a request to a replica failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RequestError {
-    /// Another replica leads.
+    /// This replica is not the leader.
     #[snafu(display("not the leader; the leader is {leader:?}"))]
     NotLeader {
-        /// Who does, if known.
+        /// The current leader, if known.
         leader: Option<u64>,
     },
-    /// Refused before anything was appended.
+    /// Refused before anything was appended to the log.
     #[snafu(display("{reason}"))]
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         reason: String,
     },
     /// Not committed in time, or leadership was lost meanwhile.
@@ -66,47 +66,47 @@
     }
 }
 
-/// What a replica knows of its group.
+/// State of a group as known to one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaStatus {
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub is_leader: bool,
     /// The leader, if known.
     pub leader: Option<u64>,
     /// Current term.
     pub term: u64,
-    /// Highest index applied.
+    /// Highest log index applied to the state machine.
     pub applied: u64,
-    /// Members.
+    /// Voters and learners of the group.
     pub membership: Membership,
-    /// Start of the latest heartbeat round that a quorum answered, when leading.
+    /// Start of the latest heartbeat round answered by a quorum; set only on the leader.
     pub quorum_contact: Option<BootInstant>,
-    /// How far each peer's log is known to match, when leading.
+    /// Highest log index known to match on each peer; filled only on the leader.
     pub matched: BTreeMap<u64, u64>,
-    /// Whether its store has no room: it takes part in nothing until there is some.
+    /// Whether the disk is full; the replica takes no part in consensus until space is available.
     pub storage_full: bool,
-    /// Checkpoints for which the disk had no room so far.
+    /// Number of checkpoints postponed so far because the disk was full.
     pub checkpoints_postponed: u64,
-    /// When the replica's thread last looked; long ago if the process or the machine stood still.
+    /// When the replica's thread last updated the status; old if the process or machine was suspended.
     pub updated_at: BootInstant,
 }
 
-/// How long a status is believed without its thread having looked again: ten ticks. A replica that
-/// stood still answers for nothing that it knew before; other threads may run before its own.
-const STATUS_TRUST: Duration = Duration::from_millis(500);
+/// Maximum age at which a status is trusted: ten ticks. After the process or machine was suspended,
+/// other threads may run before the replica's thread, and must not act on the outdated status.
+const MAX_STATUS_AGE: Duration = Duration::from_millis(500);
 
 impl ReplicaStatus {
-    /// The leader, if one is known and the replica has not stood still since.
+    /// The leader, if one is known and the status is not outdated.
     pub fn current_leader(&self) -> Option<u64> {
-        self.leader.filter(|_| self.updated_at.elapsed() < STATUS_TRUST)
+        self.leader.filter(|_| self.updated_at.elapsed() < MAX_STATUS_AGE)
     }
 }
 
-/// The state machine with the group's status.
+/// State machine and status that a replica publishes to other threads.
 pub struct Published<M> {
-    /// State up to `status.applied`.
+    /// State after applying the log up to `status.applied`.
     pub machine: M,
-    /// The group.
+    /// State of the group.
     pub status: ReplicaStatus,
 }
 
@@ -120,7 +120,7 @@
     TransferLeadership(SyncSender<()>),
 }
 
-/// Access to one replica; clones share it.
+/// Handle to a replica; clones refer to the same replica.
 pub struct Replica<M: StateMachine> {
     inputs: Sender<Input<M>>,
     published: Arc<Mutex<Published<M>>>,
@@ -156,7 +156,7 @@
         Self::start_with_store(store, recovered, parameters, send)
     }
 
-    /// Starts the replica's thread on a store that was recovered.
+    /// Starts the replica's thread with a store that is already recovered.
     pub fn start_with_store<S: LogStore + Send + 'static>(
         store: S,
         recovered: Recovered,
@@ -184,7 +184,7 @@
         };
         let published = Arc::new(Mutex::new(Published { machine, status }));
         let changed = Arc::new(Condvar::new());
-        let (inputs, received) = channel();
+        let (inputs, receiver) = channel();
         let driver = Driver::new(
             raft,
             store,
@@ -193,32 +193,32 @@
             changed.clone(),
             Box::new(send),
         );
-        thread::spawn(move || driver.run(received));
+        thread::spawn(move || driver.run(receiver));
         Ok(Replica { inputs, published, changed })
     }
 
-    /// The state machine and status.
+    /// Locks the published state machine and status.
     pub fn lock(&self) -> MutexGuard<'_, Published<M>> {
         self.published.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a change of the state machine or the status.
+    /// Waits until the state machine or the status may have changed, for at most `timeout`.
     pub fn wait_for_change<'a>(
         &self,
         guard: MutexGuard<'a, Published<M>>,
-        longest: Duration,
+        timeout: Duration,
     ) -> MutexGuard<'a, Published<M>> {
-        let waited = self.changed.wait_timeout(guard, longest);
-        waited.unwrap_or_else(PoisonError::into_inner).0
+        let result = self.changed.wait_timeout(guard, timeout);
+        result.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Hands over a message from a peer.
+    /// Passes a message from a peer to the replica.
     pub fn step(&self, message: Message) {
-        // A closed channel means that the process is ending.
+        // A closed channel means that the process is exiting.
         let _ = self.inputs.send(Input::Message(message));
     }
 
-    /// Proposes a command and waits until it was applied.
+    /// Proposes a command and waits until it is applied.
     pub fn propose(
         &self,
         command: M::Command,
@@ -227,13 +227,13 @@
         self.request(timeout, Verdict::MayHaveRun, |reply| Input::Propose(command, reply))
     }
 
-    /// Waits until this replica has applied everything committed before the call, confirmed by a
-    /// quorum.
+    /// Waits until a quorum has confirmed that this replica leads and it has applied everything committed
+    /// before the call. Returns the applied index.
     pub fn read(&self, timeout: Duration) -> Result<u64, RequestError> {
         self.request(timeout, Verdict::NotRun, Input::Read)
     }
 
-    /// Proposes a new membership and waits until it is committed.
+    /// Proposes a new membership and waits until it is committed. Returns its log index.
     pub fn change_membership(
         &self,
         next: Membership,
@@ -257,15 +257,15 @@
         answer.recv_timeout(timeout).unwrap_or(Err(unanswered))
     }
 
-    /// Before a planned stop: hands leadership to the peer that is furthest, and waits for that. The only
-    /// voter of a group has nobody to wait for.
+    /// Transfers leadership to the most up-to-date voter before a planned shutdown and waits until this
+    /// replica no longer leads. Does nothing in a group with a single voter.
     pub fn transfer_leadership(&self, timeout: Duration) {
         if self.lock().status.membership.voters.len() <= 1 {
             return;
         }
-        let (done, finished) = sync_channel(1);
+        let (done, started) = sync_channel(1);
         let _ = self.inputs.send(Input::TransferLeadership(done));
-        let _ = finished.recv_timeout(timeout);
+        let _ = started.recv_timeout(timeout);
         let deadline = BootInstant::now() + timeout;
         let mut published = self.lock();
         while published.status.is_leader && BootInstant::now() < deadline {
--- a/crates/control/src/replica/driver.rs
+++ b/crates/control/src/replica/driver.rs
@@ -1,4 +1,4 @@
-//! The thread of one replica: takes inputs in, saves, sends and applies.
+//! Thread of one replica: handles inputs, and persists, sends and applies the output of the Raft core.
 
 use super::{decode_machine, Input, Published, ReplicaParameters, Reply, RequestError};
 use crate::machine::StateMachine;
@@ -13,35 +13,36 @@
 use tracing::{error, info, warn};
 use verdict::Verdict;
 
-/// Inputs taken in before the next save, so that one sync serves many of them.
+/// Maximum number of inputs handled before the next save, so that one sync covers many of them.
 const MAX_BATCH: usize = 512;
-/// Entries that take this long to apply are told in the log, milliseconds.
-const LONG_APPLY_MS: u64 = 20;
-/// From a checkpoint for which the disk had no room to the next try: encoding the state takes time that
-/// calls of other replicas wait for.
-const CHECKPOINT_PAUSE: Duration = Duration::from_secs(1);
-/// Exit code of a process whose disk failed.
+/// Time spent applying a batch of entries from which it is logged, in milliseconds.
+const SLOW_APPLY_MS: u64 = 20;
+/// Delay before retrying a checkpoint that failed because the disk was full. Each attempt encodes the
+/// whole state, which delays calls from other replicas.
+const CHECKPOINT_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Process exit code after a disk failure.
 const EXIT_DISK_FAILED: i32 = 74;
 
-/// One replica's thread: the core, its store, and who waits for what.
+/// State of a replica's thread: the Raft core, its store and the requests waiting for a result.
 pub(super) struct Driver<M: StateMachine, S: LogStore> {
     raft: Raft,
     store: S,
-    /// What the store had no room for; while there is any, this replica stands still.
-    unsaved: Option<Ready>,
+    /// Output of the core that could not be saved because the disk is full. While it is set, the replica
+    /// takes no part in consensus.
+    unsaved_ready: Option<Ready>,
     full_since: Option<BootInstant>,
-    /// When a checkpoint that was postponed is tried again.
-    checkpoint_at: Option<BootInstant>,
+    /// When a postponed checkpoint is retried.
+    checkpoint_retry_at: Option<BootInstant>,
     parameters: ReplicaParameters,
     published: Arc<Mutex<Published<M>>>,
     changed: Arc<Condvar>,
     send: Box<dyn Fn(Message) + Send>,
-    /// Proposals and membership changes not committed yet, by index, with their term.
+    /// Uncommitted proposals and membership changes with their term, by log index.
     proposals: BTreeMap<u64, (u64, Proposal<M>)>,
     reads: BTreeMap<u64, Reply<u64>>,
     confirmed_reads: Vec<(u64, Reply<u64>)>,
     next_read: u64,
-    /// Start of heartbeat rounds not yet answered by a quorum.
+    /// Heartbeat rounds not yet answered by a quorum, with their start time.
     rounds: VecDeque<(u64, BootInstant)>,
     quorum_contact: Option<BootInstant>,
 }
@@ -52,7 +53,7 @@
 }
 
 impl<M: StateMachine, S: LogStore> Driver<M, S> {
-    /// A driver that has not begun yet.
+    /// Creates a driver; [`Driver::run`] starts it.
     pub fn new(
         raft: Raft,
         store: S,
@@ -64,9 +65,9 @@
         Driver {
             raft,
             store,
-            unsaved: None,
+            unsaved_ready: None,
             full_since: None,
-            checkpoint_at: None,
+            checkpoint_retry_at: None,
             parameters,
             published,
             changed,
@@ -80,33 +81,33 @@
         }
     }
 
-    /// Runs until every handle of the replica is gone.
+    /// Runs until every handle to the replica is dropped.
     pub fn run(mut self, inputs: Receiver<Input<M>>) {
         let mut next_tick = BootInstant::now() + self.parameters.tick;
         let mut sleep = SleepWatch::default();
         loop {
             let wait = next_tick.saturating_duration_since(BootInstant::now());
             let received = inputs.recv_timeout(wait);
-            self.note_sleep(sleep.look());
+            self.handle_sleep(sleep.look());
             match received {
                 Ok(input) => {
-                    self.take(input);
+                    self.handle_input(input);
                     for input in inputs.try_iter().take(MAX_BATCH) {
-                        self.take(input);
+                        self.handle_input(input);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             if BootInstant::now() >= next_tick {
-                if self.unsaved.is_none() {
+                if self.unsaved_ready.is_none() {
                     self.raft.tick();
                 }
-                // After a pause of the process one tick passes, not all that were missed: an
-                // election must wait for messages that are already in the socket buffers.
+                // After the process was suspended only one tick elapses instead of all missed ones, so
+                // that messages already in the socket buffers are handled before an election starts.
                 next_tick = BootInstant::now() + self.parameters.tick;
             }
-            match self.work() {
+            match self.process_ready() {
                 Ok(()) => {}
                 Err(failure) if failure.is_full() => continue,
                 Err(failure) => {
@@ -117,22 +118,22 @@
         }
     }
 
-    /// Gives up what was known before a sleep that was long enough for another election.
-    fn note_sleep(&mut self, slept: Option<Duration>) {
+    /// Discards leadership knowledge after the machine slept long enough for another election.
+    fn handle_sleep(&mut self, slept: Option<Duration>) {
         let Some(slept) = slept else {
             return;
         };
         let slept_ms = slept.as_millis() as u64;
         info!(group = %self.parameters.group, slept_ms, "machine_slept");
         let election = self.parameters.tick * self.parameters.consensus.election_ticks;
-        if slept >= election && self.unsaved.is_none() {
+        if slept >= election && self.unsaved_ready.is_none() {
             self.raft.note_sleep();
         }
     }
 
-    fn take(&mut self, input: Input<M>) {
-        if self.unsaved.is_some() {
-            refuse_input(input);
+    fn handle_input(&mut self, input: Input<M>) {
+        if self.unsaved_ready.is_some() {
+            reject_input(input);
             return;
         }
         match input {
@@ -141,12 +142,12 @@
             Input::Read(reply) => self.read(reply),
             Input::ChangeMembership(next, reply) => self.change_membership(next, reply),
             Input::TransferLeadership(done) => {
-                let furthest = self.raft.peers().and_then(|peers| {
+                let most_up_to_date = self.raft.peers().and_then(|peers| {
                     let voters = &self.raft.membership().voters;
                     let eligible = peers.iter().filter(|(id, _)| voters.contains(id));
                     eligible.max_by_key(|(_, progress)| progress.match_index).map(|(id, _)| *id)
                 });
-                if let Some(peer) = furthest {
+                if let Some(peer) = most_up_to_date {
                     self.raft.transfer_leadership(peer);
                 }
                 let _ = done.try_send(());
@@ -198,55 +199,57 @@
         }
     }
 
-    /// Saves, sends and applies until the core has nothing more to hand over.
-    fn work(&mut self) -> Result<(), StorageError> {
+    /// Saves, sends and applies the output of the core until there is none left.
+    fn process_ready(&mut self) -> Result<(), StorageError> {
         while let Some(ready) = self.next_ready() {
             if let Err(failure) = self.save(&ready) {
-                self.stand_still(ready, &failure);
+                self.pause_for_full_disk(ready, &failure);
                 return Err(failure);
             }
-            self.go_on();
+            self.resume_after_full_disk();
             for message in &ready.messages {
                 (self.send)(message.clone());
             }
             self.apply(ready)?;
         }
-        self.note_rounds();
+        self.track_rounds();
         self.publish_status();
-        let is_paused = self.checkpoint_at.is_some_and(|at| BootInstant::now() < at);
-        if !is_paused && self.store.bytes_since_checkpoint() >= self.parameters.checkpoint_bytes {
+        let retry_is_pending = self.checkpoint_retry_at.is_some_and(|at| BootInstant::now() < at);
+        if !retry_is_pending
+            && self.store.bytes_since_checkpoint() >= self.parameters.checkpoint_bytes
+        {
             self.checkpoint_or_postpone()?;
         }
         Ok(())
     }
 
-    /// Makes a checkpoint, later if the disk has no room for it: nothing that was promised depends on it.
+    /// Makes a checkpoint, or postpones it if the disk is full: no acknowledged entry depends on it.
     fn checkpoint_or_postpone(&mut self) -> Result<(), StorageError> {
-        self.checkpoint_at = None;
+        self.checkpoint_retry_at = None;
         match self.checkpoint() {
             Err(failure) if failure.is_full() => {
                 warn!(group = %self.parameters.group, error = %failure, "checkpoint_postponed");
-                self.checkpoint_at = Some(BootInstant::now() + CHECKPOINT_PAUSE);
+                self.checkpoint_retry_at = Some(BootInstant::now() + CHECKPOINT_RETRY_DELAY);
                 let mut published = self.published.lock().unwrap_or_else(PoisonError::into_inner);
                 published.status.checkpoints_postponed += 1;
                 Ok(())
             }
-            made => made,
+            result => result,
         }
     }
 
-    /// What the core hands over next; what could not be saved comes first.
+    /// Returns the next output of the core, starting with output that could not be saved before.
     fn next_ready(&mut self) -> Option<Ready> {
-        if let Some(ready) = self.unsaved.take() {
+        if let Some(ready) = self.unsaved_ready.take() {
             return Some(ready);
         }
         self.raft.has_ready().then(|| self.raft.ready())
     }
 
-    /// Without room for what the core handed over, nothing may be sent or promised: to the others
-    /// this replica is one that was frozen.
-    fn stand_still(&mut self, ready: Ready, failure: &StorageError) {
-        self.unsaved = Some(ready);
+    /// Stops taking part in consensus while the disk is full. Unsaved output must not be sent or
+    /// acknowledged, so to its peers this replica behaves like a suspended process.
+    fn pause_for_full_disk(&mut self, ready: Ready, failure: &StorageError) {
+        self.unsaved_ready = Some(ready);
         if self.full_since.is_some() {
             return;
         }
@@ -261,8 +264,8 @@
         self.changed.notify_all();
     }
 
-    /// Notes that what the core handed over was saved.
-    fn go_on(&mut self) {
+    /// Ends the pause caused by a full disk after the output of the core was saved.
+    fn resume_after_full_disk(&mut self) {
         let Some(since) = self.full_since.take() else {
             return;
         };
@@ -295,15 +298,15 @@
             info!(group = %self.parameters.group, index = snapshot.meta.index, "snapshot_installed");
         }
         let changed = !ready.committed.is_empty() || ready.snapshot.is_some();
-        let (entries, began) = (ready.committed.len(), BootInstant::now());
+        let (entries, started) = (ready.committed.len(), BootInstant::now());
         for entry in ready.committed {
             self.apply_entry(&mut published, &entry);
             published.status.applied = entry.index;
         }
         let applied = published.status.applied;
         drop(published);
-        let apply_ms = began.elapsed().as_millis() as u64;
-        if apply_ms >= LONG_APPLY_MS {
+        let apply_ms = started.elapsed().as_millis() as u64;
+        if apply_ms >= SLOW_APPLY_MS {
             info!(group = %self.parameters.group, entries, applied, apply_ms, "entries_applied");
         }
         if changed {
@@ -320,11 +323,11 @@
                 let _ = reply.try_send(Err(RequestError::NotLeader { leader }));
             }
         }
-        self.answer_reads(applied);
+        self.complete_reads(applied);
         Ok(())
     }
 
-    fn answer_reads(&mut self, applied: u64) {
+    fn complete_reads(&mut self, applied: u64) {
         self.confirmed_reads.retain(|(index, reply)| {
             if *index > applied {
                 return true;
@@ -336,12 +339,12 @@
 
     fn apply_entry(&mut self, published: &mut Published<M>, entry: &consensus::Entry) {
         let proposal = self.proposals.remove(&entry.index);
-        let own = proposal.and_then(|(term, proposal)| {
+        let pending = proposal.and_then(|(term, proposal)| {
             if term == entry.term {
                 return Some(proposal);
             }
-            // Another entry took this place: the proposal can never be committed.
-            refuse(proposal, RequestError::Unanswered { verdict: Verdict::NotRun });
+            // An entry of another term has this index, so the proposal can never be committed.
+            reject_proposal(proposal, RequestError::Unanswered { verdict: Verdict::NotRun });
             None
         });
         match &entry.payload {
@@ -351,12 +354,12 @@
                     return;
                 };
                 let answer = published.machine.apply(entry.index, &command);
-                if let Some(Proposal::Command(reply)) = own {
+                if let Some(Proposal::Command(reply)) = pending {
                     let _ = reply.try_send(Ok(answer));
                 }
             }
             consensus::Payload::Membership(_) => {
-                if let Some(Proposal::Membership(reply)) = own {
+                if let Some(Proposal::Membership(reply)) = pending {
                     let _ = reply.try_send(Ok(entry.index));
                 }
             }
@@ -364,16 +367,16 @@
         }
     }
 
-    /// Remembers when the latest round answered by a quorum began.
-    fn note_rounds(&mut self) {
+    /// Tracks the start of the latest heartbeat round answered by a quorum.
+    fn track_rounds(&mut self) {
         if !self.raft.is_leader() {
             self.rounds.clear();
             self.quorum_contact = None;
             return;
         }
-        let newest = self.raft.round();
-        if self.rounds.back().is_none_or(|(round, _)| *round < newest) {
-            self.rounds.push_back((newest, BootInstant::now()));
+        let latest = self.raft.round();
+        if self.rounds.back().is_none_or(|(round, _)| *round < latest) {
+            self.rounds.push_back((latest, BootInstant::now()));
         }
         let confirmed = self.raft.confirmed_round();
         while let Some((round, started)) = self.rounds.front().copied() {
@@ -426,9 +429,8 @@
     }
 }
 
-/// Answers what is asked of a replica that stands still. Messages of peers are dropped, as by one
-/// that is frozen.
-fn refuse_input<M: StateMachine>(input: Input<M>) {
+/// Rejects an input while the disk is full. Messages from peers are dropped, as by a suspended process.
+fn reject_input<M: StateMachine>(input: Input<M>) {
     let refusal = RequestError::NotLeader { leader: None };
     match input {
         Input::Message(_) => {}
@@ -444,7 +446,7 @@
     }
 }
 
-fn refuse<M: StateMachine>(proposal: Proposal<M>, error: RequestError) {
+fn reject_proposal<M: StateMachine>(proposal: Proposal<M>, error: RequestError) {
     match proposal {
         Proposal::Command(reply) => {
             let _ = reply.try_send(Err(error));
@@ -458,9 +460,10 @@
 fn request_error(error: ProposeError) -> RequestError {
     match error {
         ProposeError::NotLeader { leader } => RequestError::NotLeader { leader },
-        ProposeError::NotReady => {
-            RequestError::Refused { reason: "the leader is handing over its office".to_owned() }
-        }
+        ProposeError::NotReady => RequestError::Refused {
+            reason: "leadership is being transferred or the term has no committed entry yet"
+                .to_owned(),
+        },
         ProposeError::Membership { source } => RequestError::Refused { reason: source.to_string() },
     }
 }
--- a/crates/control/src/runtime.rs
+++ b/crates/control/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a control process.
+//! Startup and shutdown of a control process.
 
 use crate::address_book::AddressBook;
 use crate::api::{self, OperatorApi};
@@ -7,7 +7,7 @@
 use crate::members::Groups;
 use crate::replica::{Replica, ReplicaParameters};
 use crate::serve::{self, RelayService, ServiceLimits, ServiceMetrics};
-use crate::spread::SpreadRecord;
+use crate::spread::SharedSpread;
 use crate::transport::Transport;
 use consensus::{Config, Membership};
 use rollout::{Advancer, Request, CONTROL_OPERATOR};
@@ -27,96 +27,97 @@
 use wire::TlsIdentity;
 use wire::{GroupMessage, Identity, Purpose, Role, Server, ServerError, TlsError, TlsFiles};
 
-/// Folder of the configuration group within the data folder.
+/// Name of the configuration group and of its directory in the data directory.
 pub const CONFIG_GROUP: &str = "config";
-/// Prefix of the folders of claim groups.
+/// Name prefix of the claim groups and of their directories in the data directory.
 pub const CLAIM_GROUP_PREFIX: &str = "claims-";
 
-/// Connections accepted at once: peers, relays and their claims.
+/// Maximum number of concurrent connections from peers and relays, including claim connections.
 const MAX_CONNECTIONS: usize = 2_048;
 const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 const ADVANCE_INTERVAL: Duration = Duration::from_millis(200);
 const ADVANCE_TIMEOUT: Duration = Duration::from_secs(2);
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// On a planned stop: an answer goes out within some milliseconds, and a proposal ends within the limit.
-const LAST_REQUESTS: QuietWait =
+/// Wait for in-flight operator requests during a planned shutdown. A response is sent within a few
+/// milliseconds, and a proposal ends within `limit`.
+const SHUTDOWN_WAIT: QuietWait =
     QuietWait { quiet: Duration::from_millis(200), limit: Duration::from_millis(2_000) };
 
-/// What a process expects of its data folder.
+/// How a process treats its data directory at startup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// The data must be there.
+    /// Requires existing data.
     Resume,
-    /// A new fleet: all replicas listed in the settings are its first members.
+    /// Starts a new fleet whose initial members are all replicas listed in the settings.
     Bootstrap,
-    /// A new member that waits to be added.
+    /// Starts a new member that waits to be added to the groups.
     Join,
 }
 
-/// A control process could not start.
+/// Error that prevents a control process from starting.
 #[derive(Debug, Snafu)]
 pub enum ControlError {
-    /// Certificates.
+    /// The TLS files could not be loaded.
     #[snafu(display("{source}"))]
     Tls {
-        /// Cause.
+        /// Underlying error.
         source: TlsError,
     },
-    /// The certificate is another process's.
-    #[snafu(display("the certificate is for {found}, the settings for {expected}"))]
+    /// The certificate was issued for another role or name.
+    #[snafu(display("the certificate is for {found}, but the settings require {expected}"))]
     WrongCertificate {
         /// Role and name in the certificate.
         found: String,
-        /// What the settings need.
+        /// Name required by the settings.
         expected: String,
     },
-    /// Data folder.
+    /// The data directory or a store in it could not be opened.
     #[snafu(display("{source}"))]
     Storage {
-        /// Cause.
+        /// Underlying error.
         source: StorageError,
     },
-    /// List of operators.
+    /// The operators file could not be loaded.
     #[snafu(display("{source}"))]
     Operators {
-        /// Cause.
+        /// Underlying error.
         source: SettingsError,
     },
-    /// Address for our own processes.
+    /// The address for fleet processes could not be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// Cause.
+        /// Underlying error.
         source: ServerError,
     },
-    /// Address for operators.
+    /// The address of the operator API could not be bound.
     #[snafu(display("cannot listen on {address}: {reason}"))]
     Api {
-        /// Address.
+        /// Address to bind.
         address: SocketAddr,
-        /// Cause.
+        /// Description of the underlying error.
         reason: String,
     },
-    /// Address for metrics.
+    /// The metrics server could not be started.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Cause.
+        /// Underlying error.
         source: MetricsServerError,
     },
 }
 
-/// A control process that runs in threads of its own.
+/// A control process running on background threads.
 pub struct RunningControl {
     groups: Groups,
     requests: Arc<RequestCounter>,
     stop: StopSignal,
     _folder: DataFolder,
-    /// Address in use for our own processes.
+    /// Bound address for fleet processes.
     pub address: SocketAddr,
-    /// Address in use for operators.
+    /// Bound address of the operator API.
     pub api_address: SocketAddr,
 }
 
-/// Starts a control process. `settings_path` is watched for new replicas.
+/// Starts a control process. The file at `settings_path` is watched for changed replica addresses.
 pub fn run(
     settings: ControlSettings,
     settings_path: Option<PathBuf>,
@@ -142,7 +143,7 @@
     let groups = start_groups(&settings, mode, &transport, &addresses).context(StorageSnafu)?;
     let registry = Registry::default();
     let clock = Clock::default();
-    let spread = SpreadRecord::default();
+    let spread = SharedSpread::default();
     let service = RelayService {
         groups: groups.clone(),
         spread: spread.clone(),
@@ -244,21 +245,21 @@
     groups: &Groups,
     registry: Registry,
 ) -> Result<(), ControlError> {
-    let for_ready = groups.clone();
-    let for_status = groups.clone();
+    let ready_groups = groups.clone();
+    let status_groups = groups.clone();
     let member = settings.member_id;
     let server = MetricsServer {
         registry,
-        ready: Box::new(move || match for_ready.config.lock().status.leader {
+        ready: Box::new(move || match ready_groups.config.lock().status.leader {
             Some(_) => Ok(()),
             None => Err("no leader is known".to_owned()),
         }),
-        status: Box::new(move || own_status(member, &for_status)),
+        status: Box::new(move || status_json(member, &status_groups)),
     };
     server.run(settings.metrics_listen).context(MetricsSnafu).map(|_| ())
 }
 
-fn own_status(member: u64, groups: &Groups) -> String {
+fn status_json(member: u64, groups: &Groups) -> String {
     let published = groups.config.lock();
     let status = &published.status;
     serde_json::json!({
@@ -279,7 +280,7 @@
     }
 }
 
-/// Reads the addresses of other replicas again when the settings file changes.
+/// Starts a thread that reloads the addresses of other replicas when the settings file changes.
 fn spawn_address_reloads(addresses: Arc<AddressBook>) {
     thread::spawn(move || loop {
         thread::sleep(RELOAD_INTERVAL);
@@ -291,8 +292,8 @@
     });
 }
 
-/// Advances rollouts by themselves while this replica leads.
-fn spawn_advancer(groups: Groups, spread: SpreadRecord, clock: Clock) {
+/// Starts a thread that advances rollouts automatically while this replica is the leader.
+fn spawn_advancer(groups: Groups, spread: SharedSpread, clock: Clock) {
     thread::spawn(move || {
         let mut advancer = Advancer::default();
         loop {
@@ -318,7 +319,8 @@
 }
 
 impl RunningControl {
-    /// Waits for the stop signal, hands leadership over, answers what operators asked and returns.
+    /// Waits for the stop signal, transfers leadership, finishes in-flight operator requests and
+    /// returns.
     pub fn wait(&self) {
         self.stop.wait();
         info!(requests = self.requests.in_flight(), "control_stopping");
@@ -326,7 +328,7 @@
         for replica in &self.groups.claims {
             replica.transfer_leadership(TRANSFER_TIMEOUT);
         }
-        self.requests.wait_until_quiet(LAST_REQUESTS, || false);
+        self.requests.wait_until_quiet(SHUTDOWN_WAIT, || false);
         info!(requests = self.requests.in_flight(), "control_stopped");
     }
 }
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -1,9 +1,9 @@
-//! Answering our own processes: peers, relays, and claims.
+//! Serves connections from other fleet processes: consensus peers and relays.
 
 use crate::machine::ConfigState;
 use crate::members::Groups;
 use crate::replica::{Published, RequestError};
-use crate::spread::SpreadRecord;
+use crate::spread::SharedSpread;
 use bundle::{best_update, Bundle, BundleUpdate};
 use claims::{group_of, ClaimCommand};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,39 +15,39 @@
     WatchReply, WatchRequest, WireError,
 };
 
-/// Longest silence on a connection.
+/// Maximum time to wait for the next message on a connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(800);
-/// When a relay beyond the limit on readers comes back, milliseconds.
+/// Retry delay for a relay rejected because of the reader limit, in milliseconds.
 const READER_RETRY_AFTER_MS: std::ops::RangeInclusive<u32> = 200..=1_000;
 
-/// What answering needs.
+/// State shared by all connections.
 pub(crate) struct RelayService {
     pub groups: Groups,
-    pub spread: SpreadRecord,
+    pub spread: SharedSpread,
     pub clock: Clock,
     pub limits: ServiceLimits,
     pub metrics: ServiceMetrics,
     pub readers: AtomicUsize,
 }
 
-/// Bounds from the settings.
+/// Limits taken from the settings.
 pub(crate) struct ServiceLimits {
-    /// Longest time a request is held without news, milliseconds.
+    /// Maximum time to hold a watch request while the view is unchanged, in milliseconds.
     pub hold_ms: u64,
-    /// Shortest time without a leader before an election, milliseconds.
+    /// Minimum election timeout, in milliseconds.
     pub election_ms: u64,
-    /// Relays served at once.
+    /// Maximum number of relays watching at the same time.
     pub max_readers: u64,
 }
 
-/// Figures of the service.
+/// Metrics of the service.
 pub(crate) struct ServiceMetrics {
     pub relay_sent_bytes: Counter,
     pub relay_received_bytes: Counter,
     pub readers: Gauge,
-    pub readers_turned_away: Counter,
+    pub rejected_readers: Counter,
 }
 
 impl ServiceMetrics {
@@ -57,13 +57,13 @@
             relay_received_bytes: registry
                 .counter("control_relay_received_bytes", "Frames received from relays"),
             readers: registry.gauge("control_readers", "Relays served"),
-            readers_turned_away: registry
+            rejected_readers: registry
                 .counter("control_readers_turned_away", "Relays told to come back"),
         }
     }
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub(crate) fn serve(service: &RelayService, mut connection: ServerConnection) {
     let result = match connection.purpose() {
         Purpose::Consensus => serve_peer(service, &mut connection),
@@ -97,29 +97,29 @@
 fn serve_watch(service: &RelayService, connection: &mut ServerConnection) -> Result<(), WireError> {
     let readers = service.readers.fetch_add(1, Ordering::SeqCst);
     let result = if readers >= service.limits.max_readers as usize {
-        service.metrics.readers_turned_away.inc();
-        turn_away(connection)
+        service.metrics.rejected_readers.inc();
+        reject_reader(connection)
     } else {
         service.metrics.readers.set(readers as i64 + 1);
-        answer_watches(service, connection)
+        serve_watch_requests(service, connection)
     };
-    let left = service.readers.fetch_sub(1, Ordering::SeqCst);
-    service.metrics.readers.set(left as i64 - 1);
+    let previous = service.readers.fetch_sub(1, Ordering::SeqCst);
+    service.metrics.readers.set(previous as i64 - 1);
     result
 }
 
-fn turn_away(connection: &mut ServerConnection) -> Result<(), WireError> {
+fn reject_reader(connection: &mut ServerConnection) -> Result<(), WireError> {
     let _: WatchRequest = connection.receive(REQUEST_TIMEOUT)?;
     connection.send(&WatchReply::Busy { retry_after_ms: fastrand::u32(READER_RETRY_AFTER_MS) })
 }
 
-fn answer_watches(
+fn serve_watch_requests(
     service: &RelayService,
     connection: &mut ServerConnection,
 ) -> Result<(), WireError> {
     loop {
         let request: WatchRequest = connection.receive(REQUEST_TIMEOUT)?;
-        let reply = wait_for_view(service, &request);
+        let reply = answer_watch(service, &request);
         connection.send(&reply)?;
         let (sent, received) = connection.take_byte_counts();
         service.metrics.relay_sent_bytes.inc_by(sent);
@@ -127,7 +127,7 @@
     }
 }
 
-fn wait_for_view(service: &RelayService, request: &WatchRequest) -> WatchReply {
+fn answer_watch(service: &RelayService, request: &WatchRequest) -> WatchReply {
     let deadline = BootInstant::now() + Duration::from_millis(service.limits.hold_ms);
     let replica = &service.groups.config;
     let mut published = replica.lock();
@@ -135,27 +135,27 @@
         if !published.status.is_leader {
             return WatchReply::NotLeader { leader: published.status.leader };
         }
-        let left = deadline.saturating_duration_since(BootInstant::now());
+        let remaining = deadline.saturating_duration_since(BootInstant::now());
         let newer = published.machine.0.view().revision > request.revision;
-        if newer || left.is_zero() {
+        if newer || remaining.is_zero() {
             break;
         }
-        published = replica.wait_for_change(published, left);
+        published = replica.wait_for_change(published, remaining);
     }
-    // A leader that was frozen or cut off still believes it leads; what it would say is only
-    // passed on if a quorum answered it a moment ago.
+    // A leader that was suspended or partitioned may still consider itself the leader, so its view is
+    // served only if a quorum answered it within the election timeout.
     if !quorum_is_recent(service, &published) {
         return WatchReply::NotLeader { leader: None };
     }
-    changed_since(&published, request)
+    watch_reply(&published, request)
 }
 
 fn quorum_is_recent(service: &RelayService, published: &Published<ConfigState>) -> bool {
-    let longest = Duration::from_millis(service.limits.election_ms);
-    published.status.quorum_contact.is_some_and(|contact| contact.elapsed() < longest)
+    let max_age = Duration::from_millis(service.limits.election_ms);
+    published.status.quorum_contact.is_some_and(|contact| contact.elapsed() < max_age)
 }
 
-fn changed_since(published: &Published<ConfigState>, request: &WatchRequest) -> WatchReply {
+fn watch_reply(published: &Published<ConfigState>, request: &WatchRequest) -> WatchReply {
     let machine = &published.machine.0;
     let view = machine.view();
     if view.revision <= request.revision {
@@ -176,7 +176,7 @@
 ) -> Result<(), WireError> {
     loop {
         let request: ReportRequest = connection.receive(REQUEST_TIMEOUT)?;
-        let reply = take_report(service, request);
+        let reply = record_report(service, request);
         connection.send(&reply)?;
         let (sent, received) = connection.take_byte_counts();
         service.metrics.relay_sent_bytes.inc_by(sent);
@@ -184,7 +184,7 @@
     }
 }
 
-fn take_report(service: &RelayService, request: ReportRequest) -> ReportReply {
+fn record_report(service: &RelayService, request: ReportRequest) -> ReportReply {
     let replica = &service.groups.config;
     let confirmed = match request.confirm {
         true => replica.read(CONFIRM_TIMEOUT).map(Some),
@@ -207,18 +207,18 @@
 ) -> Result<(), WireError> {
     loop {
         let request: ClaimRequest = connection.receive(REQUEST_TIMEOUT)?;
-        let reply = decide_claim(service, request);
+        let reply = propose_claim(service, request);
         connection.send(&reply)?;
     }
 }
 
-fn decide_claim(service: &RelayService, request: ClaimRequest) -> ClaimReply {
+fn propose_claim(service: &RelayService, request: ClaimRequest) -> ClaimReply {
     let groups = service.groups.claims.len() as u32;
     let group = group_of(request.command.key(), groups);
     let Some(replica) = service.groups.claims.get(group as usize) else {
         return ClaimReply::Unavailable { verdict: verdict::Verdict::NotRun };
     };
-    let command = stamp(request.command);
+    let command = with_leader_time(request.command);
     match replica.propose(command, CLAIM_TIMEOUT) {
         Ok(answer) => ClaimReply::Answer(answer),
         Err(RequestError::NotLeader { leader }) => ClaimReply::NotLeader { leader },
@@ -226,8 +226,8 @@
     }
 }
 
-/// Replaces the proxy's clock by the leader's.
-fn stamp(command: ClaimCommand) -> ClaimCommand {
+/// Replaces the proxy's timestamp with this process's wall clock.
+fn with_leader_time(command: ClaimCommand) -> ClaimCommand {
     match command {
         ClaimCommand::Begin { key, request, attempt, keep_ms, .. } => {
             ClaimCommand::Begin { key, request, attempt, keep_ms, now_ms: wall_clock_ms() }
@@ -237,5 +237,5 @@
 }
 
 fn wall_clock_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/control/src/spread.rs
+++ b/crates/control/src/spread.rs
@@ -1,13 +1,13 @@
-//! The spread of generations as relays report it, shared by those who record and those who read.
+//! Propagation of configuration generations as reported by relays, shared between threads.
 
 use rollout::FleetSpread;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// One record; clones share it.
+/// Shared handle to the fleet's propagation state; clones refer to the same state.
 #[derive(Clone, Default)]
-pub(crate) struct SpreadRecord(Arc<Mutex<FleetSpread>>);
+pub(crate) struct SharedSpread(Arc<Mutex<FleetSpread>>);
 
-impl SpreadRecord {
+impl SharedSpread {
     pub fn lock(&self) -> MutexGuard<'_, FleetSpread> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -1,4 +1,4 @@
-//! Sending consensus messages: one connection and one thread per peer, never blocking a replica.
+//! Sends consensus messages, with one connection and one thread per peer so that replicas never block.
 
 use crate::address_book::AddressBook;
 use std::collections::BTreeMap;
@@ -10,13 +10,13 @@
 use tracing::debug;
 use wire::{connect, Backoff, ClientConnection, GroupMessage, Purpose, Role, TlsIdentity};
 
-/// Messages waiting for one peer; beyond, they are dropped, as a network would.
+/// Maximum number of queued messages per peer; further ones are dropped, as if lost by the network.
 const QUEUE_LENGTH: usize = 4_096;
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_CAP_MS: u64 = 500;
-const IDLE_CHECK: Duration = Duration::from_millis(500);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Queues towards all peers.
+/// Outgoing message queues, one per peer.
 pub(crate) struct Transport {
     tls: Arc<TlsIdentity>,
     addresses: Arc<AddressBook>,
@@ -28,7 +28,7 @@
         Transport { tls, addresses, queues: Mutex::default() }
     }
 
-    /// Queues a message for its receiver, or drops it.
+    /// Queues a message for its recipient, or drops it if the queue is full.
     pub fn send(&self, message: GroupMessage) {
         let peer = message.message.to;
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
@@ -42,12 +42,12 @@
         let (queue, messages) = sync_channel(QUEUE_LENGTH);
         let tls = self.tls.clone();
         let addresses = self.addresses.clone();
-        thread::spawn(move || send_all(&tls, &addresses, peer, &messages));
+        thread::spawn(move || run_sender(&tls, &addresses, peer, &messages));
         queue
     }
 }
 
-fn send_all(
+fn run_sender(
     tls: &TlsIdentity,
     addresses: &AddressBook,
     peer: u64,
@@ -57,21 +57,21 @@
     let mut backoff = Backoff::new(BACKOFF_BASE_MS, BACKOFF_CAP_MS, fastrand::u64(..));
     let mut retry_at = BootInstant::now();
     loop {
-        let message = match messages.recv_timeout(IDLE_CHECK) {
+        let message = match messages.recv_timeout(RECEIVE_TIMEOUT) {
             Ok(message) => message,
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         if connection.is_none() && BootInstant::now() >= retry_at {
-            connection = open(tls, addresses, peer);
+            connection = open_connection(tls, addresses, peer);
             match connection {
                 Some(_) => backoff.reset(),
                 None => retry_at = BootInstant::now() + backoff.next_delay(),
             }
         }
-        // Without a connection the message is dropped; consensus repeats what matters.
-        if let Some(open) = &mut connection {
-            if let Err(error) = open.send(&message) {
+        // Without a connection the message is dropped; consensus retransmits what is still needed.
+        if let Some(active) = &mut connection {
+            if let Err(error) = active.send(&message) {
                 debug!(peer, %error, "consensus_send_failed");
                 connection = None;
             }
@@ -79,7 +79,11 @@
     }
 }
 
-fn open(tls: &TlsIdentity, addresses: &AddressBook, peer: u64) -> Option<ClientConnection> {
+fn open_connection(
+    tls: &TlsIdentity,
+    addresses: &AddressBook,
+    peer: u64,
+) -> Option<ClientConnection> {
     let address = addresses.get(peer)?.address;
     match connect(tls, address, Role::Control, Purpose::Consensus) {
         Ok(connection) => Some(connection),
--- a/crates/control/tests/full_storage.rs
+++ b/crates/control/tests/full_storage.rs
@@ -1,4 +1,5 @@
-//! A replica whose store has no room: it stands still, says so, and goes on once there is room.
+//! A replica whose disk is full stops taking part in consensus, reports it in its status, and resumes
+//! once there is space.
 
 use consensus::{Config, Entry, HardState, Membership, Snapshot, SnapshotMeta};
 use control::{Replica, ReplicaParameters, RequestError, StateMachine};
@@ -9,14 +10,14 @@
 use std::time::{Duration, Instant};
 use storage::{LogStore, MemoryStore, StorageError};
 
-/// Longest wait for anything; only a broken replica comes near it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum wait for any condition; only a faulty replica comes close to it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const ONLY_MEMBER: u64 = 1;
 
-/// How often a state was encoded, by tests whose replicas make checkpoints.
+/// Number of times a state was encoded; counted in tests whose replicas make checkpoints.
 static ENCODED: AtomicU64 = AtomicU64::new(0);
 
-/// Adds up what it is told.
+/// State machine that adds up its commands.
 #[derive(Default)]
 struct Sum(u64);
 
@@ -39,15 +40,16 @@
     }
 }
 
-/// A store that has no room, or fails to sync, while it is told so.
-struct Failing {
+/// A store that reports a full disk while a flag is set.
+struct FullStore {
     store: MemoryStore,
+    /// Whether every write fails.
     full: Arc<AtomicBool>,
-    /// Whether there is room for the log, and none for a checkpoint.
+    /// Whether checkpoints fail while log writes succeed.
     full_for_checkpoints: Arc<AtomicBool>,
 }
 
-impl Failing {
+impl FullStore {
     fn check(&self, full: &AtomicBool) -> Result<(), StorageError> {
         if !full.load(Ordering::SeqCst) {
             return Ok(());
@@ -57,7 +59,7 @@
     }
 }
 
-impl LogStore for Failing {
+impl LogStore for FullStore {
     fn save(&mut self, state: Option<HardState>, entries: &[Entry]) -> Result<(), StorageError> {
         self.check(&self.full)?;
         self.store.save(state, entries)
@@ -107,19 +109,19 @@
         checkpoint_bytes,
     };
     let (full, full_for_checkpoints) = (full.clone(), full_for_checkpoints.clone());
-    let store = Failing { store, full, full_for_checkpoints };
+    let store = FullStore { store, full, full_for_checkpoints };
     Replica::start_with_store(store, recovered, parameters, |_| {}).expect("started")
 }
 
-/// Asks until the answer is this one.
-fn wait<T: PartialEq + std::fmt::Debug>(what: &str, expected: T, ask: impl Fn() -> T) {
-    let end = Instant::now() + PATIENCE;
+/// Polls until `poll` returns `expected`.
+fn wait_until<T: PartialEq + std::fmt::Debug>(what: &str, expected: T, poll: impl Fn() -> T) {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let answer = ask();
-        if answer == expected {
+        let value = poll();
+        if value == expected {
             return;
         }
-        assert!(Instant::now() < end, "{what}: {answer:?}");
+        assert!(Instant::now() < deadline, "{what}: {value:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -128,48 +130,52 @@
 fn a_replica_without_room_stands_still_and_goes_on_later() {
     let full = Arc::new(AtomicBool::new(false));
     let replica = start(&full);
-    wait("it leads", true, || replica.lock().status.is_leader);
-    assert_eq!(replica.propose(3, PATIENCE), Ok(3));
+    wait_until("replica leads", true, || replica.lock().status.is_leader);
+    assert_eq!(replica.propose(3, TIMEOUT), Ok(3));
 
     full.store(true, Ordering::SeqCst);
     let during = replica.propose(4, Duration::from_millis(200));
     assert!(matches!(during, Err(RequestError::Unanswered { .. })), "{during:?}");
     assert!(replica.lock().status.storage_full);
-    assert!(!replica.lock().status.is_leader, "it can keep no promise");
+    assert!(!replica.lock().status.is_leader, "a replica with a full disk must not lead");
     let refused = Err(RequestError::NotLeader { leader: None });
-    assert_eq!(replica.propose(5, PATIENCE), refused, "refused clearly, and at once");
-    assert!(replica.read(PATIENCE).is_err());
-    assert_eq!(replica.lock().machine.0, 3, "what is in force is served on");
+    assert_eq!(replica.propose(5, TIMEOUT), refused, "rejected immediately");
+    assert!(replica.read(TIMEOUT).is_err());
+    assert_eq!(replica.lock().machine.0, 3, "the applied state is still served");
 
     full.store(false, Ordering::SeqCst);
-    wait("it has room", false, || replica.lock().status.storage_full);
-    wait("it leads again", true, || replica.lock().status.is_leader);
-    assert_eq!(replica.propose(1, PATIENCE), Ok(8), "the order without an answer was kept");
+    wait_until("storage has space", false, || replica.lock().status.storage_full);
+    wait_until("replica leads again", true, || replica.lock().status.is_leader);
+    assert_eq!(replica.propose(1, TIMEOUT), Ok(8), "the unanswered proposal was kept");
 }
 
 #[test]
 fn a_checkpoint_without_room_is_counted_and_tried_again_a_second_later() {
     let full_for_checkpoints = Arc::new(AtomicBool::new(true));
     let replica = start_with(&Arc::default(), &full_for_checkpoints, 1);
-    wait("it leads", true, || replica.lock().status.is_leader);
-    assert_eq!(replica.propose(3, PATIENCE), Ok(3), "the log has room");
+    wait_until("replica leads", true, || replica.lock().status.is_leader);
+    assert_eq!(replica.propose(3, TIMEOUT), Ok(3), "log writes succeed");
     let postponed = || replica.lock().status.checkpoints_postponed;
-    wait("it is counted", true, || postponed() > 0);
-    let (begun, before) = (Instant::now(), ENCODED.load(Ordering::SeqCst));
+    wait_until("postponed checkpoint is counted", true, || postponed() > 0);
+    let (started, before) = (Instant::now(), ENCODED.load(Ordering::SeqCst));
     for _ in 0..50 {
-        replica.propose(1, PATIENCE).expect("orders go on");
+        replica.propose(1, TIMEOUT).expect("proposals succeed");
     }
-    let tries = ENCODED.load(Ordering::SeqCst) - before;
-    assert!(tries <= begun.elapsed().as_secs() + 1, "{tries} tries in {:?}", begun.elapsed());
+    let attempts = ENCODED.load(Ordering::SeqCst) - before;
+    assert!(
+        attempts <= started.elapsed().as_secs() + 1,
+        "{attempts} attempts in {:?}",
+        started.elapsed()
+    );
 
     full_for_checkpoints.store(false, Ordering::SeqCst);
-    wait("it is made", true, || {
-        replica.propose(1, PATIENCE).expect("orders go on");
-        ENCODED.load(Ordering::SeqCst) > before + tries + 1
+    wait_until("checkpoint is made", true, || {
+        replica.propose(1, TIMEOUT).expect("proposals succeed");
+        ENCODED.load(Ordering::SeqCst) > before + attempts + 1
     });
-    let held = postponed();
-    replica.propose(1, PATIENCE).expect("orders go on");
-    assert_eq!(postponed(), held);
+    let count = postponed();
+    replica.propose(1, TIMEOUT).expect("proposals succeed");
+    assert_eq!(postponed(), count);
 }
 
 #[test]
@@ -180,7 +186,10 @@
     };
     assert!(io("write", ErrorKind::StorageFull).is_full());
     assert!(io("write", ErrorKind::QuotaExceeded).is_full());
-    assert!(!io("sync", ErrorKind::StorageFull).is_full(), "what is on the disk is not known");
+    assert!(
+        !io("sync", ErrorKind::StorageFull).is_full(),
+        "after a failed sync the content on disk is unknown"
+    );
     assert!(!io("truncate", ErrorKind::StorageFull).is_full());
     assert!(!io("write", ErrorKind::PermissionDenied).is_full());
 }
