--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -137,8 +137,9 @@
         }
     }
 
-    /// Builds the target bundle from the current one, which must be valid. The result is either complete
-    /// and valid or an error, and shares memory with `current` for every object they have in common.
+    /// Builds the target bundle from the current one, which must be valid. The result is either
+    /// complete and valid or an error, and shares memory with `current` for every object they have
+    /// in common.
     pub fn apply(&self, current: &Bundle) -> Result<Bundle, UpdateError> {
         match self {
             BundleUpdate::Unchanged { target } => check_result(current.clone(), *target, &[]),
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,8 +1,9 @@
 //! The typed configuration: services, routes, secrets, call limits and tenants that form one unit.
 //!
-//! A valid [`Bundle`] is self-contained: it holds every service and secret that its routes refer to.
-//! Objects are content-addressed, so two versions of a bundle differ by a [`Delta`] of a few objects.
-//! This crate does no network or disk I/O apart from [`source::load`], which reads an operator's files.
+//! A valid [`Bundle`] is self-contained: it holds every service and secret that its routes refer
+//! to. Objects are content-addressed, so two versions of a bundle differ by a [`Delta`] of a few
+//! objects. This crate does no network or disk I/O apart from [`source::load`], which reads an
+//! operator's files.
 #![forbid(unsafe_code)]
 
 mod approval;
--- a/crates/bundle/src/object.rs
+++ b/crates/bundle/src/object.rs
@@ -26,7 +26,8 @@
     /// Reduced capacity after a start; `None` if an upstream has its full capacity at once.
     #[serde(default)]
     pub cold_start: Option<ColdStart>,
-    /// Free-form text set by the operator's tools; stored and returned unchanged, never interpreted.
+    /// Free-form text set by the operator's tools; stored and returned unchanged, never
+    /// interpreted.
     #[speedy(length_type = u64_varint)]
     #[serde(default)]
     pub annotation: String,
@@ -118,7 +119,8 @@
     /// Whether calls are allowed without a tenant key even if the bundle has tenants.
     #[serde(default)]
     pub keyless: bool,
-    /// Free-form text set by the operator's tools; stored and returned unchanged, never interpreted.
+    /// Free-form text set by the operator's tools; stored and returned unchanged, never
+    /// interpreted.
     #[speedy(length_type = u64_varint)]
     #[serde(default)]
     pub annotation: String,
@@ -136,7 +138,8 @@
     pub header_timeout_ms: u32,
     /// Maximum idle time of a connection between calls, in milliseconds.
     pub idle_timeout_ms: u32,
-    /// Free-form text set by the operator's tools; stored and returned unchanged, never interpreted.
+    /// Free-form text set by the operator's tools; stored and returned unchanged, never
+    /// interpreted.
     #[speedy(length_type = u64_varint)]
     #[serde(default)]
     pub annotation: String,
@@ -327,8 +330,8 @@
 }
 
 impl Bundle {
-    /// Builds a bundle; a later object replaces an earlier one with the same id. The objects are not
-    /// validated; see [`Bundle::check`].
+    /// Builds a bundle; a later object replaces an earlier one with the same id. The objects are
+    /// not validated; see [`Bundle::check`].
     pub fn from_objects(objects: Vec<Object>) -> Self {
         let hash = |object: Object| (object.id(), Arc::new(HashedObject::of(object)));
         Bundle::from_hashed(objects.into_iter().map(hash).collect())
--- a/crates/bundle/src/seal.rs
+++ b/crates/bundle/src/seal.rs
@@ -1,8 +1,8 @@
 //! Sealing: encryption of secrets between the operator's machine and the proxies.
 //!
-//! The control plane and relays only hold sealed values. Sealing is deterministic (the nonce is a MAC
-//! of name and value), so submitting an unchanged secret again does not change its digest and causes
-//! no control traffic.
+//! The control plane and relays only hold sealed values. Sealing is deterministic (the nonce is a
+//! MAC of name and value), so submitting an unchanged secret again does not change its digest and
+//! causes no control traffic.
 
 use crate::SealedSecret;
 use ring::aead::{Aad, LessSafeKey, Nonce, UnboundKey, CHACHA20_POLY1305};
@@ -38,7 +38,8 @@
         /// Id of the missing key.
         key_id: u32,
     },
-    /// Authentication failed, for example because the value was modified or sealed under another name.
+    /// Authentication failed, for example because the value was modified or sealed under another
+    /// name.
     #[snafu(display("secret '{name}' cannot be decrypted with key {key_id}"))]
     DoesNotOpen {
         /// Name of the secret.
--- a/crates/bundle/src/source.rs
+++ b/crates/bundle/src/source.rs
@@ -12,7 +12,8 @@
 use toml::Spanned;
 
 const DEFAULT_TIMEOUT_MS: u32 = 1_000;
-/// Keeps sends per call below the limit of 1.2 when the last hop fails, including saved-up retry budget.
+/// Keeps sends per call below the limit of 1.2 when the last hop fails, including saved-up retry
+/// budget.
 const DEFAULT_RETRY_BUDGET_PERCENT: u32 = 15;
 const DEFAULT_ATTEMPTS: u32 = 2;
 const DEFAULT_UPSTREAM_SLOTS: u32 = 20;
--- a/crates/bundle/src/tenant.rs
+++ b/crates/bundle/src/tenant.rs
@@ -21,19 +21,19 @@
     #[speedy(length_type = u64_varint)]
     #[serde(default, deserialize_with = "read_keys")]
     pub keys: Vec<String>,
-    /// Request rate limit over all nodes together, in thousandths of a request per second; 0 means no
-    /// limit.
+    /// Request rate limit over all nodes together, in thousandths of a request per second; 0 means
+    /// no limit.
     #[serde(default)]
     pub rate_milli: u64,
     /// Number of requests allowed in a burst on top of the rate.
     #[serde(default)]
     pub burst: u64,
-    /// Order among tenants under load shedding; 0 is served first. It takes precedence over the rank of a
-    /// route; with `None` only the route's rank applies.
+    /// Order among tenants under load shedding; 0 is served first. It takes precedence over the
+    /// rank of a route; with `None` only the route's rank applies.
     #[serde(default)]
     pub rank: Option<u32>,
-    /// Free-form text set by the operator's tools; stored and returned unchanged, never interpreted. It may
-    /// contain the keys.
+    /// Free-form text set by the operator's tools; stored and returned unchanged, never
+    /// interpreted. It may contain the keys.
     #[speedy(length_type = u64_varint)]
     #[serde(default)]
     pub annotation: String,
@@ -53,8 +53,8 @@
     Other(IgnoredAny),
 }
 
-/// Deserializes a list of keys. Unlike the default error, the error for other input does not quote the
-/// input, which may contain keys.
+/// Deserializes a list of keys. Unlike the default error, the error for other input does not quote
+/// the input, which may contain keys.
 pub(crate) fn read_keys<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<String>, D::Error> {
     match KeysInput::deserialize(input)? {
         KeysInput::Keys(keys) => Ok(keys),
@@ -68,8 +68,8 @@
     }
 }
 
-/// A short digest that identifies a key in logs, problems and lists of changes; it is the same on every
-/// node. It is too short to recover a strong key, but can confirm a guess of a weak one.
+/// A short digest that identifies a key in logs, problems and lists of changes; it is the same on
+/// every node. It is too short to recover a strong key, but can confirm a guess of a weak one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyFingerprint(u32);
 
@@ -91,7 +91,8 @@
     }
 }
 
-/// Describes what is invalid about a single key, if anything. The description does not contain the key.
+/// Describes what is invalid about a single key, if anything. The description does not contain the
+/// key.
 pub(crate) fn key_problem(key: &str) -> Option<String> {
     if key.is_empty() {
         return Some("is empty".to_owned());
--- a/crates/bundle/src/validate.rs
+++ b/crates/bundle/src/validate.rs
@@ -28,8 +28,8 @@
 
 /// The limits enforced on every bundle.
 pub const LIMITS: Limits = Limits {
-    // 10,000 tenants with two keys of 20 characters and 800 routes take 2.5 MB. The limit is half the
-    // maximum frame size between machines, so that an incompressible snapshot still fits.
+    // 10,000 tenants with two keys of 20 characters and 800 routes take 2.5 MB. The limit is half
+    // the maximum frame size between machines, so that an incompressible snapshot still fits.
     bundle_bytes: 4 * 1024 * 1024,
     objects: 20_000,
     name_characters: 128,
@@ -83,9 +83,10 @@
         problems
     }
 
-    /// Lists the problems that a change introduced into a previously valid bundle. Checks only the changed
-    /// objects and unchanged objects that may conflict with or refer to them. For comparison, checking all
-    /// 2,400 routes of a bundle took 0.05 to 0.25 ms (processor time, mean of 49, beside other load).
+    /// Lists the problems that a change introduced into a previously valid bundle. Checks only the
+    /// changed objects and unchanged objects that may conflict with or refer to them. For
+    /// comparison, checking all 2,400 routes of a bundle took 0.05 to 0.25 ms (processor time, mean
+    /// of 49, beside other load).
     pub(crate) fn check_change(&self, removed: &[ObjectId], upserts: &[Object]) -> Vec<Problem> {
         let may_be_referenced =
             |id: &ObjectId| matches!(id.kind, ObjectKind::Service | ObjectKind::Secret);
@@ -265,7 +266,8 @@
     format!("is held by tenant '{holder}' as well")
 }
 
-/// Adds a problem with a tenant's key, identified by position and fingerprint because keys are secret.
+/// Adds a problem with a tenant's key, identified by position and fingerprint because keys are
+/// secret.
 fn push_key_problem(tenant: &Tenant, position: usize, problem: &str, problems: &mut Vec<Problem>) {
     let fingerprint = KeyFingerprint::of(tenant.keys[position].as_bytes());
     let reason = format!("key {} ({fingerprint}) {problem}", position + 1);
--- a/crates/bundle/tests/changes.rs
+++ b/crates/bundle/tests/changes.rs
@@ -1,4 +1,5 @@
-//! Validating a change to a valid bundle gives the same result as validating the complete new bundle.
+//! Validating a change to a valid bundle gives the same result as validating the complete new
+//! bundle.
 
 use bundle::{
     best_update, Bundle, BundleUpdate, Delta, Object, Priority, Route, SealKey, Service, Target,
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ensures that a call with an idempotency key runs at most once, whichever proxy receives a retry.
 //!
-//! [`ClaimMachine`] is a replicated state machine: a proxy may send a call that must not run twice only
-//! after its `Begin` was committed and answered with [`ClaimAnswer::Started`]. [`group_of`] distributes
-//! keys over independent consensus groups, so that claims scale beyond one leader.
+//! [`ClaimMachine`] is a replicated state machine: a proxy may send a call that must not run twice
+//! only after its `Begin` was committed and answered with [`ClaimAnswer::Started`]. [`group_of`]
+//! distributes keys over independent consensus groups, so that claims scale beyond one leader.
 #![forbid(unsafe_code)]
 
 mod machine;
--- a/crates/claims/src/machine.rs
+++ b/crates/claims/src/machine.rs
@@ -35,7 +35,8 @@
 pub struct ClaimMachine {
     claims: BTreeMap<ClaimKey, Claim>,
     expiry: BTreeSet<(u64, ClaimKey)>,
-    /// Highest leader time seen, so that a leader whose clock lags does not bring expired claims back.
+    /// Highest leader time seen, so that a leader whose clock lags does not bring expired claims
+    /// back.
     now_ms: u64,
     weakness: Option<ClaimWeakness>,
 }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -365,8 +365,8 @@
     let body: Body =
         serde_json::from_slice(body).map_err(|cause| error(400, "bad_change", cause))?;
     if let Change::AddLearner(id) | Change::Promote(id) = body.change {
-        // The operator may just have added the member to the settings file; reload it now instead of
-        // waiting for the next periodic check.
+        // The operator may just have added the member to the settings file; reload it now instead
+        // of waiting for the next periodic check.
         let reloaded = api.addresses.reload_if_changed();
         reloaded.map_err(|cause| error(500, "settings_unreadable", cause))?;
         if api.addresses.get(id).is_none() {
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -104,7 +104,8 @@
         settings::load_operators(&self.path).map(|_| ())
     }
 
-    /// Verifies the signature of a request and, if `role` is given, that the operator has that role.
+    /// Verifies the signature of a request and, if `role` is given, that the operator has that
+    /// role.
     pub(crate) fn authenticate(
         &self,
         request: &IncomingRequest<'_>,
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -87,7 +87,8 @@
     pub storage_full: bool,
     /// Number of checkpoints postponed so far because the disk was full.
     pub checkpoints_postponed: u64,
-    /// When the replica's thread last updated the status; old if the process or machine was suspended.
+    /// When the replica's thread last updated the status; old if the process or machine was
+    /// suspended.
     pub updated_at: BootInstant,
 }
 
@@ -227,8 +228,8 @@
         self.request(timeout, Verdict::MayHaveRun, |reply| Input::Propose(command, reply))
     }
 
-    /// Waits until a quorum has confirmed that this replica leads and it has applied everything committed
-    /// before the call. Returns the applied index.
+    /// Waits until a quorum has confirmed that this replica leads and it has applied everything
+    /// committed before the call. Returns the applied index.
     pub fn read(&self, timeout: Duration) -> Result<u64, RequestError> {
         self.request(timeout, Verdict::NotRun, Input::Read)
     }
@@ -257,8 +258,8 @@
         answer.recv_timeout(timeout).unwrap_or(Err(unanswered))
     }
 
-    /// Transfers leadership to the most up-to-date voter before a planned shutdown and waits until this
-    /// replica no longer leads. Does nothing in a group with a single voter.
+    /// Transfers leadership to the most up-to-date voter before a planned shutdown and waits until
+    /// this replica no longer leads. Does nothing in a group with a single voter.
     pub fn transfer_leadership(&self, timeout: Duration) {
         if self.lock().status.membership.voters.len() <= 1 {
             return;
--- a/crates/control/src/replica/driver.rs
+++ b/crates/control/src/replica/driver.rs
@@ -1,4 +1,5 @@
-//! Thread of one replica: handles inputs, and persists, sends and applies the output of the Raft core.
+//! Thread of one replica: handles inputs, and persists, sends and applies the output of the Raft
+//! core.
 
 use super::{decode_machine, Input, Published, ReplicaParameters, Reply, RequestError};
 use crate::machine::StateMachine;
@@ -17,8 +18,8 @@
 const MAX_BATCH: usize = 512;
 /// Time spent applying a batch of entries from which it is logged, in milliseconds.
 const SLOW_APPLY_MS: u64 = 20;
-/// Delay before retrying a checkpoint that failed because the disk was full. Each attempt encodes the
-/// whole state, which delays calls from other replicas.
+/// Delay before retrying a checkpoint that failed because the disk was full. Each attempt encodes
+/// the whole state, which delays calls from other replicas.
 const CHECKPOINT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Process exit code after a disk failure.
 const EXIT_DISK_FAILED: i32 = 74;
@@ -27,8 +28,8 @@
 pub(super) struct Driver<M: StateMachine, S: LogStore> {
     raft: Raft,
     store: S,
-    /// Output of the core that could not be saved because the disk is full. While it is set, the replica
-    /// takes no part in consensus.
+    /// Output of the core that could not be saved because the disk is full. While it is set, the
+    /// replica takes no part in consensus.
     unsaved_ready: Option<Ready>,
     full_since: Option<BootInstant>,
     /// When a postponed checkpoint is retried.
@@ -103,8 +104,9 @@
                 if self.unsaved_ready.is_none() {
                     self.raft.tick();
                 }
-                // After the process was suspended only one tick elapses instead of all missed ones, so
-                // that messages already in the socket buffers are handled before an election starts.
+                // After the process was suspended only one tick elapses instead of all missed ones,
+                // so that messages already in the socket buffers are handled before an election
+                // starts.
                 next_tick = BootInstant::now() + self.parameters.tick;
             }
             match self.process_ready() {
@@ -223,7 +225,8 @@
         Ok(())
     }
 
-    /// Makes a checkpoint, or postpones it if the disk is full: no acknowledged entry depends on it.
+    /// Makes a checkpoint, or postpones it if the disk is full: no acknowledged entry depends on
+    /// it.
     fn checkpoint_or_postpone(&mut self) -> Result<(), StorageError> {
         self.checkpoint_retry_at = None;
         match self.checkpoint() {
@@ -429,7 +432,8 @@
     }
 }
 
-/// Rejects an input while the disk is full. Messages from peers are dropped, as by a suspended process.
+/// Rejects an input while the disk is full. Messages from peers are dropped, as by a suspended
+/// process.
 fn reject_input<M: StateMachine>(input: Input<M>) {
     let refusal = RequestError::NotLeader { leader: None };
     match input {
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -142,8 +142,8 @@
         }
         published = replica.wait_for_change(published, remaining);
     }
-    // A leader that was suspended or partitioned may still consider itself the leader, so its view is
-    // served only if a quorum answered it within the election timeout.
+    // A leader that was suspended or partitioned may still consider itself the leader, so its view
+    // is served only if a quorum answered it within the election timeout.
     if !quorum_is_recent(service, &published) {
         return WatchReply::NotLeader { leader: None };
     }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -1,4 +1,5 @@
-//! Sends consensus messages, with one connection and one thread per peer so that replicas never block.
+//! Sends consensus messages, with one connection and one thread per peer so that replicas never
+//! block.
 
 use crate::address_book::AddressBook;
 use std::collections::BTreeMap;
--- a/crates/control/tests/full_storage.rs
+++ b/crates/control/tests/full_storage.rs
@@ -1,5 +1,5 @@
-//! A replica whose disk is full stops taking part in consensus, reports it in its status, and resumes
-//! once there is space.
+//! A replica whose disk is full stops taking part in consensus, reports it in its status, and
+//! resumes once there is space.
 
 use consensus::{Config, Entry, HardState, Membership, Snapshot, SnapshotMeta};
 use control::{Replica, ReplicaParameters, RequestError, StateMachine};
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -1,7 +1,7 @@
 //! Verdict carried by every refusal and error: whether the request may have run.
 //!
-//! Callers decide from the verdict alone whether a request can safely be retried, so all crates of the
-//! workspace report failures with this type.
+//! Callers decide from the verdict alone whether a request can safely be retried, so all crates of
+//! the workspace report failures with this type.
 #![forbid(unsafe_code)]
 
 use serde::{Deserialize, Serialize};
