--- a/crates/wire/src/authority.rs
+++ b/crates/wire/src/authority.rs
@@ -1,4 +1,4 @@
-//! The fleet's own certificate authority: what `chutecove keys` does.
+//! The fleet's own certificate authority, used by `chutecove keys`.
 
 use crate::Identity;
 use rcgen::{
@@ -9,21 +9,21 @@
 use std::time::{Duration, SystemTime};
 
 const AUTHORITY_LIFETIME: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
-/// A certificate is valid from a little before it was made, for clocks that are behind.
-const CLOCK_TOLERANCE: Duration = Duration::from_secs(3600);
+/// Certificates are backdated by this much, so that peers whose clocks are behind accept them.
+const CLOCK_SKEW_TOLERANCE: Duration = Duration::from_secs(3600);
 
-/// A certificate could not be made.
+/// A certificate could not be generated.
 #[derive(Debug, Snafu)]
-#[snafu(display("cannot make a certificate: {source}"))]
+#[snafu(display("cannot generate a certificate: {source}"))]
 pub struct AuthorityError {
     source: rcgen::Error,
 }
 
-/// Certificate and private key, both PEM.
+/// A certificate with its private key.
 pub struct IssuedCertificate {
-    /// Certificate.
+    /// Certificate, PEM.
     pub certificate_pem: String,
-    /// Private key.
+    /// Private key, PEM.
     pub key_pem: String,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl CertificateAuthority {
-    /// Makes a new authority.
+    /// Creates an authority with a new key and a self-signed certificate.
     pub fn create(fleet: &str) -> Result<Self, AuthorityError> {
         let key = KeyPair::generate().context(AuthoritySnafu)?;
         let mut params = CertificateParams::new(Vec::new()).context(AuthoritySnafu)?;
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Uses an existing authority.
+    /// Wraps an existing authority's certificate and key without validating them.
     pub fn from_pem(certificate_pem: String, key_pem: String) -> Self {
         CertificateAuthority { certificate_pem, key_pem }
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Issues a certificate for a process.
+/// Issues a certificate with a new key for a process, valid for client and server authentication.
 pub fn issue_certificate(
     authority: &CertificateAuthority,
     identity: &Identity,
@@ -87,6 +87,6 @@
 
 fn set_validity(params: &mut CertificateParams, lifetime: Duration) {
     let now = SystemTime::now();
-    params.not_before = (now - CLOCK_TOLERANCE).into();
+    params.not_before = (now - CLOCK_SKEW_TOLERANCE).into();
     params.not_after = (now + lifetime).into();
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,7 +1,7 @@
-//! Authenticated half-duplex connections.
+//! Half-duplex request/response connections over mutual TLS.
 
 use crate::frame::{read_frame, write_frame, FrameError};
-use crate::tls::identity_of;
+use crate::tls::identity_from_chain;
 use crate::{Hello, HelloReply, Identity, Purpose, Role, TlsIdentity, PROTOCOL_VERSION};
 use rustls::pki_types::ServerName;
 use rustls::StreamOwned;
@@ -12,62 +12,63 @@
 use std::time::Duration;
 use verdict::Verdict;
 
-/// Longest time for connecting, TLS and greeting together, each step.
+/// Timeout of each step of setting up a connection: the TCP connect, and each read and write of the
+/// TLS handshake and the hello exchange.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a conversation with another of our processes failed.
+/// Error on a connection to another process of the fleet.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// No connection was made.
+    /// The TCP connection could not be set up or configured.
     #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Underlying I/O error.
         source: io::Error,
     },
-    /// TLS could not be started.
-    #[snafu(display("TLS with {address} failed: {source}"))]
+    /// The TLS session could not be created.
+    #[snafu(display("cannot create a TLS session with {address}: {source}"))]
     Tls {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Underlying TLS error.
         source: rustls::Error,
     },
-    /// The peer's certificate names nobody.
-    #[snafu(display("the certificate of {address} names no role, name and zone"))]
+    /// The peer's certificate lacks a DNS name for the role, name or zone.
+    #[snafu(display("certificate of {address} lacks a role, name or zone DNS name"))]
     NoIdentity {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// The greeting failed.
-    #[snafu(display("greeting {address} failed: {source}"))]
+    /// The TLS handshake or the hello exchange failed.
+    #[snafu(display("handshake with {address} failed: {source}"))]
     Handshake {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Underlying frame error.
         source: FrameError,
     },
-    /// The peer does not want this connection.
-    #[snafu(display("{address} refused: {reason}"))]
+    /// The connection was refused, by the peer or by this process.
+    #[snafu(display("connection with {address} refused: {reason}"))]
     Refused {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Its reason.
+        /// Reason in the [`HelloReply`].
         reason: String,
     },
-    /// A request or answer was lost.
-    #[snafu(display("conversation with {address} failed: {source}"))]
+    /// A request or its response failed after the handshake.
+    #[snafu(display("message exchange with {address} failed: {source}"))]
     Exchange {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Underlying frame error.
         source: FrameError,
     },
 }
 
 impl WireError {
-    /// Whether the request may have had an effect.
+    /// Whether the request may have taken effect: only if the failure came after the handshake.
     pub fn verdict(&self) -> Verdict {
         match self {
             WireError::Exchange { .. } => Verdict::MayHaveRun,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The calling side of a connection.
+/// Client side of a connection.
 pub struct ClientConnection {
     stream: StreamOwned<rustls::ClientConnection, TcpStream>,
     address: SocketAddr,
@@ -84,7 +85,7 @@
     received_bytes: u64,
 }
 
-/// Connects to a server of the given role, checks its certificate and greets it.
+/// Connects to a server, verifies that its certificate is for `role` and sends the hello message.
 pub fn connect(
     tls: &TlsIdentity,
     address: SocketAddr,
@@ -93,24 +94,24 @@
 ) -> Result<ClientConnection, WireError> {
     let socket = TcpStream::connect_timeout(&address, HANDSHAKE_TIMEOUT)
         .context(ConnectSnafu { address })?;
-    prepare_socket(&socket).context(ConnectSnafu { address })?;
+    configure_socket(&socket).context(ConnectSnafu { address })?;
     let name = ServerName::try_from(role.server_name()).expect("role names are DNS names");
     let session =
         rustls::ClientConnection::new(tls.client(), name).context(TlsSnafu { address })?;
     let stream = StreamOwned::new(session, socket);
     let mut connection = ClientConnection { stream, address, sent_bytes: 0, received_bytes: 0 };
-    connection.greet(purpose)?;
+    connection.send_hello(purpose)?;
     Ok(connection)
 }
 
-fn prepare_socket(socket: &TcpStream) -> io::Result<()> {
+fn configure_socket(socket: &TcpStream) -> io::Result<()> {
     socket.set_nodelay(true)?;
     socket.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
     socket.set_write_timeout(Some(HANDSHAKE_TIMEOUT))
 }
 
 impl ClientConnection {
-    fn greet(&mut self, purpose: Purpose) -> Result<(), WireError> {
+    fn send_hello(&mut self, purpose: Purpose) -> Result<(), WireError> {
         let address = self.address;
         let hello = Hello { protocol: PROTOCOL_VERSION, purpose };
         write_frame(&mut self.stream, &hello).context(HandshakeSnafu { address })?;
@@ -122,19 +123,19 @@
         }
     }
 
-    /// Where it leads.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes of frames sent and received since the last call, for metrics.
+    /// Bytes of frames sent and received since the previous call, for metrics.
     pub fn take_byte_counts(&mut self) -> (u64, u64) {
         let counts = (self.sent_bytes, self.received_bytes);
         (self.sent_bytes, self.received_bytes) = (0, 0);
         counts
     }
 
-    /// Sends a message that is not answered.
+    /// Sends a message that has no response.
     pub fn send<T: Writable<LittleEndian>>(&mut self, message: &T) -> Result<(), WireError> {
         let address = self.address;
         let sent = write_frame(&mut self.stream, message).context(ExchangeSnafu { address })?;
@@ -142,8 +143,8 @@
         Ok(())
     }
 
-    /// Sends a request and waits for its answer. After an error the connection must be dropped,
-    /// because a late answer would be taken for that of the next request.
+    /// Sends a request and waits for its response. After an error the connection must be dropped,
+    /// because a late response would be taken for that of the next request.
     pub fn call<Q, A>(&mut self, request: &Q, timeout: Duration) -> Result<A, WireError>
     where
         Q: Writable<LittleEndian>,
@@ -152,13 +153,14 @@
         let address = self.address;
         self.stream.sock.set_read_timeout(Some(timeout)).context(ConnectSnafu { address })?;
         self.send(request)?;
-        let (answer, received) = read_frame(&mut self.stream).context(ExchangeSnafu { address })?;
+        let (response, received) =
+            read_frame(&mut self.stream).context(ExchangeSnafu { address })?;
         self.received_bytes += received as u64;
-        Ok(answer)
+        Ok(response)
     }
 }
 
-/// The answering side of a connection.
+/// Server side of a connection.
 pub struct ServerConnection {
     stream: StreamOwned<rustls::ServerConnection, TcpStream>,
     address: SocketAddr,
@@ -169,24 +171,24 @@
 }
 
 impl ServerConnection {
-    /// Accepts a connection: TLS with the client's certificate, then its greeting, which `allow`
-    /// checks against the client's role.
+    /// Performs the server side of the handshake: mutual TLS, then the hello exchange. `allow`
+    /// decides whether the client's identity may open a connection for the requested purpose.
     pub fn accept(
         tls: &TlsIdentity,
         socket: TcpStream,
         allow: impl Fn(&Identity, Purpose) -> bool,
     ) -> Result<ServerConnection, WireError> {
         let address = socket.peer_addr().unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)));
-        prepare_socket(&socket).context(ConnectSnafu { address })?;
+        configure_socket(&socket).context(ConnectSnafu { address })?;
         let session = rustls::ServerConnection::new(tls.server()).context(TlsSnafu { address })?;
         let mut stream = StreamOwned::new(session, socket);
         let (hello, _) = read_frame::<Hello>(&mut stream).context(HandshakeSnafu { address })?;
         let peer = stream
             .conn
             .peer_certificates()
-            .and_then(identity_of)
+            .and_then(identity_from_chain)
             .context(NoIdentitySnafu { address })?;
-        let reason = refusal(&hello, &peer, allow);
+        let reason = refusal_reason(&hello, &peer, allow);
         let reply = match &reason {
             None => HelloReply::Welcome,
             Some(reason) => HelloReply::Refused { reason: reason.clone() },
@@ -198,17 +200,17 @@
         Ok(ServerConnection { stream, address, peer, purpose, sent_bytes: 0, received_bytes: 0 })
     }
 
-    /// Who is at the other end.
+    /// Identity of the client.
     pub fn peer(&self) -> &Identity {
         &self.peer
     }
 
-    /// What the connection is for.
+    /// Purpose that the client stated.
     pub fn purpose(&self) -> Purpose {
         self.purpose
     }
 
-    /// Waits for the next request.
+    /// Waits for the next request, at most `timeout` per read.
     pub fn receive<T>(&mut self, timeout: Duration) -> Result<T, WireError>
     where
         T: for<'a> Readable<'a, LittleEndian>,
@@ -221,7 +223,7 @@
         Ok(message)
     }
 
-    /// Sends an answer. The write times out rather than wait for a reader that does not read.
+    /// Sends a response. The write times out if the client does not read.
     pub fn send<T: Writable<LittleEndian>>(&mut self, message: &T) -> Result<(), WireError> {
         let address = self.address;
         let sent = write_frame(&mut self.stream, message).context(ExchangeSnafu { address })?;
@@ -229,7 +231,7 @@
         Ok(())
     }
 
-    /// Bytes of frames sent and received since the last call, for metrics.
+    /// Bytes of frames sent and received since the previous call, for metrics.
     pub fn take_byte_counts(&mut self) -> (u64, u64) {
         let counts = (self.sent_bytes, self.received_bytes);
         (self.sent_bytes, self.received_bytes) = (0, 0);
@@ -237,14 +239,14 @@
     }
 }
 
-fn refusal(
+fn refusal_reason(
     hello: &Hello,
     peer: &Identity,
     allow: impl Fn(&Identity, Purpose) -> bool,
 ) -> Option<String> {
     if hello.protocol != PROTOCOL_VERSION {
-        let spoken = hello.protocol;
-        return Some(format!("protocol {spoken} is not spoken here, {PROTOCOL_VERSION} is"));
+        let offered = hello.protocol;
+        return Some(format!("protocol {offered} is not spoken here, {PROTOCOL_VERSION} is"));
     }
     if !allow(peer, hello.purpose) {
         return Some(format!("a {} may not open {:?} here", peer.role, hello.purpose));
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who a certificate stands for.
+//! The process identity in a certificate.
 //!
-//! A certificate names its holder by three DNS names: `ROLE.role.chutecove`,
-//! `NAME.name.chutecove` and `ZONE.zone.chutecove`. A client asks for the server by its role's
-//! name, so a proxy's certificate can never serve as a relay's or a control replica's.
+//! A certificate identifies its subject by three DNS names: `ROLE.role.chutecove`,
+//! `NAME.name.chutecove` and `ZONE.zone.chutecove`. A client verifies the server against its role
+//! name, so a proxy's certificate is never accepted as that of a relay or a control replica.
 
 use std::fmt;
 
@@ -10,19 +10,19 @@
 const NAME_SUFFIX: &str = ".name.chutecove";
 const ZONE_SUFFIX: &str = ".zone.chutecove";
 
-/// What a process may do.
+/// Role of a process, which determines what it is authorized to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A replica of the control source.
+    /// A control replica.
     Control,
-    /// A relay.
+    /// A relay between the control replicas and the proxies.
     Relay,
-    /// A proxy.
+    /// A proxy on the path of calls.
     Proxy,
 }
 
 impl Role {
-    /// The stable spelling.
+    /// The role's name in certificates and file names; must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Role::Control => "control",
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Reads the stable spelling.
+    /// Parses a role from its [`Role::as_str`] form.
     pub fn parse(text: &str) -> Option<Role> {
         [Role::Control, Role::Relay, Role::Proxy].into_iter().find(|role| role.as_str() == text)
     }
 
-    /// The DNS name by which clients ask for a server of this role.
+    /// The DNS name that clients expect in the certificate of a server of this role.
     pub fn server_name(self) -> String {
         format!("{}{ROLE_SUFFIX}", self.as_str())
     }
@@ -48,19 +48,19 @@
     }
 }
 
-/// The holder of a certificate.
+/// The subject of a certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its role.
+    /// Role of the process.
     pub role: Role,
-    /// Its name, unique in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: String,
-    /// Its zone.
+    /// Zone the process runs in.
     pub zone: String,
 }
 
 impl Identity {
-    /// The DNS names that stand for it in a certificate.
+    /// The DNS names that encode this identity in a certificate.
     pub fn dns_names(&self) -> Vec<String> {
         vec![
             self.role.server_name(),
@@ -69,7 +69,8 @@
         ]
     }
 
-    /// Reads the DNS names of a certificate; `None` if one of the three is missing.
+    /// Parses the DNS names of a certificate; `None` if one of the three is missing or the role is
+    /// unknown.
     pub fn from_dns_names<'a>(names: impl Iterator<Item = &'a str> + Clone) -> Option<Identity> {
         let with_suffix = |suffix: &str| {
             names.clone().find_map(|name| name.strip_suffix(suffix).map(str::to_owned))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! Messages between our own processes, and the authenticated connections that carry them.
+//! Messages between processes of a fleet, and the mutually authenticated connections that carry
+//! them.
 //!
-//! Every connection is half-duplex request and answer over mutual TLS. A watcher's request is
-//! held by the server until there is news, so one blocking thread serves a connection in both
-//! directions and news still travels at once.
+//! Every connection is half-duplex request/response over mutual TLS. Watches use long polling: the
+//! server holds the request until there is an update, so one blocking thread serves a connection in
+//! both directions and updates are still delivered immediately.
 #![forbid(unsafe_code)]
 
 mod authority;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Every message type, by conversation.
+//! All message types, grouped by the purpose of the connection.
 
 use bundle::{Approval, BundleUpdate, Digest};
 use claims::{ClaimAnswer, ClaimCommand};
@@ -8,256 +8,259 @@
 use speedy::{Readable, Writable};
 use verdict::Verdict;
 
-/// Version of all messages; two processes of different versions refuse each other.
+/// Version of the message formats. A server refuses clients of a different version.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// What a connection is for.
+/// Purpose of a connection; it determines which messages follow and which roles may open it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Readable, Writable)]
 pub enum Purpose {
-    /// Consensus messages from one control replica to another; nothing is answered.
+    /// Consensus messages from one control replica to another; one-way.
     Consensus,
-    /// A relay watches the targets.
+    /// A relay watches control for new target views.
     RelayWatch,
-    /// A relay reports, and asks for confirmation of what it holds.
+    /// A relay reports on its proxies to control and asks for confirmation that its view is current.
     RelayReport,
-    /// Claims for calls that must not run twice.
+    /// Claims on the idempotency keys of calls that must not run twice.
     Claims,
-    /// A proxy watches its configuration and endpoints.
+    /// A proxy watches a relay for its configuration and endpoints.
     ProxyWatch,
-    /// A proxy reports what it saw of back ends.
+    /// A proxy reports observations of backends to a relay.
     ProxyReport,
-    /// Relays exchange leaving marks.
+    /// A relay fetches leaving marks from another relay.
     Mirror,
 }
 
 /// First message on every connection.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct Hello {
-    /// Sender's [`PROTOCOL_VERSION`].
+    /// The client's [`PROTOCOL_VERSION`].
     pub protocol: u16,
-    /// What the connection is for.
+    /// Purpose of the connection.
     pub purpose: Purpose,
 }
 
-/// Answer to [`Hello`].
+/// Response to [`Hello`].
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum HelloReply {
-    /// Go on.
+    /// The connection is accepted.
     Welcome,
-    /// The connection will be closed.
+    /// The connection is refused and will be closed.
     Refused {
-        /// Why.
+        /// Why it is refused.
         reason: String,
     },
 }
 
-/// A consensus message of one of the groups a control process hosts.
+/// A consensus message of one of the groups that a control process hosts.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct GroupMessage {
-    /// 0: configuration; from 1: claims.
+    /// 0 is the configuration group, 1 and above are claim groups.
     pub group: u32,
-    /// The message.
+    /// Consensus message.
     pub message: Message,
 }
 
-/// A relay asks for news; control holds the request until there is some.
+/// A relay's long poll for a newer view; control holds the request until there is one.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct WatchRequest {
-    /// Revision of the view held.
+    /// Revision of the view that the relay has.
     pub revision: u64,
-    /// Bundles held, the most useful as a base first.
+    /// Digests of the bundles that the relay has, the preferred delta base first.
     pub held: Vec<Digest>,
 }
 
-/// Answer to [`WatchRequest`].
+/// Response to [`WatchRequest`].
 #[expect(clippy::large_enum_variant, reason = "one at a time per connection; never stored")]
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum WatchReply {
-    /// A newer view with the bundles it needs.
+    /// A newer view, with updates for the bundles it refers to.
     Changed {
-        /// The view.
+        /// The newer view.
         view: TargetView,
-        /// Updates for the bundles that the relay does not hold.
+        /// Updates for the bundles that the relay does not have.
         updates: Vec<BundleUpdate>,
     },
-    /// Nothing newer within the holding time.
+    /// No newer view appeared within the hold time.
     Unchanged,
-    /// Only the leader answers; ask there.
+    /// This replica is not the leader; only the leader serves watches.
     NotLeader {
-        /// Member id of the leader, if known.
+        /// Member id of the current leader, if known.
         leader: Option<u64>,
     },
-    /// Too many readers; come back later.
+    /// Too many relays are being served; retry later.
     Busy {
-        /// When, milliseconds from now.
+        /// Delay before the retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// A relay reports its proxies and may ask for confirmation.
+/// A relay's report on its proxies, with an optional request for confirmation.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ReportRequest {
-    /// Aggregated acknowledgements.
+    /// Acknowledgements of the relay's proxies, aggregated.
     pub report: RelayReport,
-    /// Ask a quorum for the newest revision, as of after this request was sent.
+    /// Whether to confirm with a quorum which revision is the newest, as of a time after this
+    /// request was sent.
     pub confirm: bool,
 }
 
-/// Answer to [`ReportRequest`].
+/// Response to [`ReportRequest`].
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ReportReply {
-    /// Taken in.
+    /// The report was accepted.
     Done {
-        /// The newest revision, confirmed by a quorum after the request arrived.
+        /// Newest revision, confirmed by a quorum after the request arrived; `None` without a
+        /// confirmation.
         confirmed_revision: Option<u64>,
     },
-    /// Only the leader answers.
+    /// This replica is not the leader; only the leader accepts reports.
     NotLeader {
-        /// Member id of the leader, if known.
+        /// Member id of the current leader, if known.
         leader: Option<u64>,
     },
 }
 
-/// A command for one group of claims.
+/// A command for one claim group.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub struct ClaimRequest {
-    /// What to do; the group follows from its key.
+    /// The command; its key determines the group.
     pub command: ClaimCommand,
 }
 
-/// Answer to [`ClaimRequest`].
+/// Response to [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub enum ClaimReply {
-    /// Committed.
+    /// The command was committed, with this result.
     Answer(ClaimAnswer),
-    /// Only the group's leader answers.
+    /// This replica is not the leader of the claim group.
     NotLeader {
-        /// Member id of the leader, if known.
+        /// Member id of the current leader, if known.
         leader: Option<u64>,
     },
-    /// Not answered in time.
+    /// There was no result in time.
     Unavailable {
         /// Whether the command may still take effect.
         verdict: Verdict,
     },
 }
 
-/// A generation that a proxy refuses to apply.
+/// A generation that a proxy refused to apply.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct RefusedGeneration {
-    /// Which.
+    /// Number of the generation.
     pub generation: u64,
-    /// Why.
+    /// Why the proxy refused it.
     pub error: String,
 }
 
-/// What a proxy has and needs.
+/// State of a proxy: what it has applied and what it subscribes to.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ProxyState {
-    /// Who and where it is.
+    /// Name and location of the proxy.
     pub name: ProxyName,
-    /// Generation applied; `None` for a proxy that just started without stored state.
+    /// Applied generation; `None` for a proxy that has just started without stored state.
     pub generation: Option<u64>,
-    /// Digest of the bundle applied, or of the empty one.
+    /// Digest of the applied bundle, or of the empty bundle if none is applied.
     pub digest: Digest,
-    /// Target it refused.
+    /// Generation that the proxy refused, if any.
     pub refused: Option<RefusedGeneration>,
-    /// Services its routes use.
+    /// Services that the proxy's routes use.
     pub services: Vec<String>,
-    /// Relay epoch of its endpoint view.
+    /// Relay epoch of the proxy's endpoint view.
     pub endpoint_epoch: u64,
-    /// Sequence of its endpoint view.
+    /// Sequence number of the proxy's endpoint view.
     pub endpoint_sequence: u64,
 }
 
-/// A proxy asks for news; the relay holds the request until there is some.
+/// A proxy's long poll for updates; the relay holds the request until there is one.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum ProxyPoll {
-    /// First request of a connection, and after anything but plain success.
+    /// Full state: in the first request of a connection, and whenever [`ProxyPoll::Applied`] does not
+    /// hold.
     State(ProxyState),
-    /// Everything the last answer held was applied.
+    /// Everything in the previous response was applied.
     Applied,
 }
 
-/// A target and how to get there.
+/// A target generation and how to reach it from what the proxy has.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ConfigUpdate {
-    /// The generation.
+    /// Target generation.
     pub generation: u64,
-    /// Sign-off of the bundle.
+    /// Approval of the bundle, if it has one.
     pub approval: Option<Approval>,
-    /// Whether a quorum confirmed, after the proxy's first request, that nothing newer than the
-    /// view this target comes from was accepted.
+    /// Whether a quorum confirmed, after the proxy's first request, that the view from which this
+    /// target comes was the newest accepted one.
     pub confirmed: bool,
-    /// Content, with its digest.
+    /// The bundle's content, complete or as a delta, with its digest.
     pub update: BundleUpdate,
 }
 
-/// News for a proxy.
+/// Updates for a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ProxyUpdate {
-    /// New target.
+    /// New target, if it changed.
     pub config: Option<ConfigUpdate>,
-    /// Endpoint changes.
+    /// Endpoint changes, if any.
     pub endpoints: Option<EndpointUpdate>,
-    /// Time since the relay last heard from the control leader, milliseconds.
+    /// Time since the relay last heard from the control leader, in milliseconds.
     pub source_age_ms: u32,
 }
 
-/// Answer to [`ProxyPoll`].
+/// Response to [`ProxyPoll`].
 #[expect(clippy::large_enum_variant, reason = "one at a time per connection; never stored")]
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 #[speedy(tag_type = u8)]
 pub enum ProxyReply {
-    /// Nothing new.
+    /// No update within the hold time.
     Unchanged {
-        /// Time since the relay last heard from the control leader, milliseconds.
+        /// Time since the relay last heard from the control leader, in milliseconds.
         source_age_ms: u32,
     },
-    /// News.
+    /// New configuration, endpoint changes or both.
     Update(ProxyUpdate),
-    /// The relay admits no more catch-ups now, or knows nothing yet.
+    /// The relay is at its limit of concurrent catch-ups, or has no configuration yet.
     Busy {
-        /// When to come back, milliseconds from now.
+        /// Delay before the retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The relay stops; go to another.
+    /// The relay is shutting down; the proxy should connect to another one.
     Leaving,
 }
 
-/// What a proxy saw of back ends.
+/// A proxy's observations of backends.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ProxyObservation {
-    /// Back ends that said they leave.
+    /// Marks of backends that announced that they are leaving.
     pub leaving: Vec<LeavingMark>,
 }
 
-/// Answer to [`ProxyObservation`].
+/// Response to [`ProxyObservation`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct ObservationReply {
-    /// How many were news.
+    /// Number of reported marks that the relay did not have yet.
     pub new_marks: u32,
 }
 
-/// A relay asks a peer for leaving marks.
+/// A relay's long poll for the leaving marks of a peer relay.
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MirrorRequest {
-    /// The peer's epoch as last seen.
+    /// Epoch of the peer as of its previous reply.
     pub epoch: u64,
-    /// The peer's sequence as last seen.
+    /// Sequence number of the peer as of its previous reply.
     pub sequence: u64,
 }
 
-/// Answer to [`MirrorRequest`].
+/// Response to [`MirrorRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Readable, Writable)]
 pub struct MirrorReply {
-    /// Epoch of the answering relay.
+    /// Epoch of the responding relay.
     pub epoch: u64,
-    /// Its sequence.
+    /// Sequence number of the responding relay.
     pub sequence: u64,
-    /// Marks newer than the request's position.
+    /// Marks added after the epoch and sequence number in the request.
     pub marks: Vec<LeavingMark>,
-    /// Its proxies that subscribe to each service.
+    /// Number of the responding relay's proxies that subscribe to each service.
     pub subscribers: Vec<(String, u32)>,
 }
--- a/crates/wire/src/tls.rs
+++ b/crates/wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS settings, loaded from files and reloaded when the files change.
+//! Mutual TLS configuration, loaded from files and reloaded when the files change.
 
 use crate::Identity;
 use rustls::pki_types::pem::PemObject;
@@ -14,83 +14,84 @@
 
 const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where a process finds its certificate.
+/// Paths of a process's TLS files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// Certificates of the authorities trusted, PEM; two during a replacement.
+    /// Trusted CA certificates, PEM; two during a CA rotation.
     pub authority: PathBuf,
-    /// Own certificate, PEM.
+    /// The process's certificate chain, PEM.
     pub certificate: PathBuf,
-    /// Own private key, PEM.
+    /// The process's private key, PEM.
     pub key: PathBuf,
 }
 
-/// Why TLS could not be set up.
+/// Error from loading the TLS configuration.
 #[derive(Debug, Snafu)]
 pub enum TlsError {
-    /// A PEM file is missing or not readable.
+    /// A PEM file is missing or malformed.
     #[snafu(display("{}: {source}", path.display()))]
     Pem {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying PEM error.
         source: rustls::pki_types::pem::Error,
     },
-    /// The certificate or key is not usable.
+    /// The certificate or key was rejected by rustls.
     #[snafu(display("{}: {source}", path.display()))]
-    Unusable {
-        /// Which file.
+    Rejected {
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying TLS error.
         source: rustls::Error,
     },
     /// The client verifier could not be built.
     #[snafu(display("{}: {source}", path.display()))]
     Verifier {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying verifier error.
         source: rustls::server::VerifierBuilderError,
     },
-    /// The certificate names no role, name and zone.
-    #[snafu(display("{}: the certificate names no role, name and zone", path.display()))]
+    /// The certificate lacks a DNS name for the role, name or zone.
+    #[snafu(display("{}: certificate lacks a role, name or zone DNS name", path.display()))]
     NoIdentity {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
     },
 }
 
 #[derive(Debug)]
-struct Loaded {
+struct LoadedConfig {
     client: Arc<ClientConfig>,
     server: Arc<ServerConfig>,
-    modified: Vec<Option<SystemTime>>,
+    modified_times: Vec<Option<SystemTime>>,
 }
 
-/// A process's own identity with its TLS settings.
+/// A process's identity and its reloadable TLS configuration.
 #[derive(Debug)]
 pub struct TlsIdentity {
     files: TlsFiles,
     identity: Identity,
-    loaded: Mutex<Loaded>,
+    loaded: Mutex<LoadedConfig>,
 }
 
 impl TlsIdentity {
-    /// Loads the files.
+    /// Loads the TLS files.
     pub fn load(files: TlsFiles) -> Result<Arc<Self>, TlsError> {
         let (loaded, identity) = load(&files)?;
         Ok(Arc::new(TlsIdentity { files, identity, loaded: Mutex::new(loaded) }))
     }
 
-    /// Who this process is.
+    /// Identity in this process's certificate, as of the first load.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Loads the files again if one of them changed; new connections then use the new keys.
+    /// Reloads the files if the modification time of one has changed; returns whether it did. Only
+    /// new connections use the new keys.
     pub fn reload_if_changed(&self) -> Result<bool, TlsError> {
-        let modified = modification_times(&self.files);
-        if self.lock().modified == modified {
+        let modified_times = modification_times(&self.files);
+        if self.lock().modified_times == modified_times {
             return Ok(false);
         }
         let (loaded, _) = load(&self.files)?;
@@ -98,7 +99,7 @@
         Ok(true)
     }
 
-    /// Starts a thread that loads the files again whenever they change.
+    /// Starts a thread that reloads the files whenever they change.
     pub fn watch_files(self: Arc<Self>) {
         thread::spawn(move || loop {
             thread::sleep(RELOAD_INTERVAL);
@@ -110,7 +111,7 @@
         });
     }
 
-    /// Configuration of the calling side.
+    /// Current client-side configuration.
     pub fn client(&self) -> Arc<ClientConfig> {
         self.lock().client.clone()
     }
@@ -119,7 +120,7 @@
         self.lock().server.clone()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Loaded> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, LoadedConfig> {
         self.loaded.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -131,14 +132,15 @@
         .collect()
 }
 
-fn load(files: &TlsFiles) -> Result<(Loaded, Identity), TlsError> {
-    let modified = modification_times(files);
+fn load(files: &TlsFiles) -> Result<(LoadedConfig, Identity), TlsError> {
+    let modified_times = modification_times(files);
     let chain = read_certificates(&files.certificate)?;
-    let identity = identity_of(&chain).context(NoIdentitySnafu { path: &files.certificate })?;
+    let identity =
+        identity_from_chain(&chain).context(NoIdentitySnafu { path: &files.certificate })?;
     let key = PrivateKeyDer::from_pem_file(&files.key).context(PemSnafu { path: &files.key })?;
     let mut roots = RootCertStore::empty();
     for authority in read_certificates(&files.authority)? {
-        roots.add(authority).context(UnusableSnafu { path: &files.authority })?;
+        roots.add(authority).context(RejectedSnafu { path: &files.authority })?;
     }
     let roots = Arc::new(roots);
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -147,20 +149,22 @@
         .context(VerifierSnafu { path: &files.authority })?;
     let mut server = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
-        .context(UnusableSnafu { path: &files.certificate })?
+        .context(RejectedSnafu { path: &files.certificate })?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), key.clone_key())
-        .context(UnusableSnafu { path: &files.certificate })?;
-    // Sessions are never resumed, so that a replaced certificate counts from the next connection.
+        .context(RejectedSnafu { path: &files.certificate })?;
+    // Session resumption is disabled on both sides, so that a replaced certificate takes effect
+    // with the next connection.
     server.send_tls13_tickets = 0;
     let mut client = ClientConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .context(UnusableSnafu { path: &files.certificate })?
+        .context(RejectedSnafu { path: &files.certificate })?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)
-        .context(UnusableSnafu { path: &files.certificate })?;
+        .context(RejectedSnafu { path: &files.certificate })?;
     client.resumption = rustls::client::Resumption::disabled();
-    let loaded = Loaded { client: Arc::new(client), server: Arc::new(server), modified };
+    let loaded =
+        LoadedConfig { client: Arc::new(client), server: Arc::new(server), modified_times };
     Ok((loaded, identity))
 }
 
@@ -168,8 +172,8 @@
     CertificateDer::pem_file_iter(path).and_then(Iterator::collect).context(PemSnafu { path })
 }
 
-/// Reads who a certificate chain stands for.
-pub(crate) fn identity_of(chain: &[CertificateDer<'_>]) -> Option<Identity> {
+/// Extracts the identity from the leaf certificate of a chain.
+pub(crate) fn identity_from_chain(chain: &[CertificateDer<'_>]) -> Option<Identity> {
     let leaf = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
     let names: Vec<&str> = leaf.valid_dns_names().collect();
     Identity::from_dns_names(names.iter().copied())
--- a/crates/wire/tests/connections.rs
+++ b/crates/wire/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Who is let in, and what malformed input does.
+//! Authentication and authorization of connections, and handling of malformed input.
 
 use speedy::Writable;
 use std::io::Write;
@@ -38,7 +38,7 @@
     .unwrap()
 }
 
-/// A server that lets relays watch, and answers each number with its double.
+/// Starts a server that allows relays to watch, and responds to each number with its double.
 fn serve(tls: Arc<TlsIdentity>) -> SocketAddr {
     let server = Server::bind(([127, 0, 0, 1], 0).into(), 64).unwrap();
     let address = server.address();
@@ -75,12 +75,12 @@
         identity(self.folder.path(), &self.authority, &self.authority, role, DAY)
     }
 
-    fn still_serves(&self) {
+    fn assert_still_serves(&self) {
         let relay = self.member(Role::Relay);
         let mut connection =
             connect(&relay, self.address, Role::Control, Purpose::RelayWatch).unwrap();
-        let answer: u32 = connection.call(&21_u32, TIMEOUT).unwrap();
-        assert_eq!(answer, 42);
+        let response: u32 = connection.call(&21_u32, TIMEOUT).unwrap();
+        assert_eq!(response, 42);
     }
 }
 
@@ -91,7 +91,10 @@
     let folder = fleet.folder.path();
     let rows = [
         ("a proxy's certificate", fleet.member(Role::Proxy)),
-        ("a foreign one", identity(folder, &foreign, &fleet.authority, Role::Relay, DAY)),
+        (
+            "one of a foreign authority",
+            identity(folder, &foreign, &fleet.authority, Role::Relay, DAY),
+        ),
         (
             "an expired one",
             identity(folder, &fleet.authority, &fleet.authority, Role::Relay, Duration::ZERO),
@@ -101,22 +104,23 @@
             identity(folder, &fleet.authority, &foreign, Role::Relay, DAY),
         ),
     ];
-    // An expired certificate needs a moment to be expired.
+    // Validity has a resolution of one second, so wait until the certificate has expired.
     std::thread::sleep(Duration::from_millis(1_100));
     for (name, tls) in rows {
-        let opened = connect(&tls, fleet.address, Role::Control, Purpose::RelayWatch);
-        let used = opened.and_then(|mut connection| connection.call::<u32, u32>(&1, TIMEOUT));
-        assert!(used.is_err(), "{name} was let in");
+        let connected = connect(&tls, fleet.address, Role::Control, Purpose::RelayWatch);
+        let response =
+            connected.and_then(|mut connection| connection.call::<u32, u32>(&1, TIMEOUT));
+        assert!(response.is_err(), "{name} was accepted");
     }
-    fleet.still_serves();
+    fleet.assert_still_serves();
 }
 
 #[test]
 fn a_relay_may_not_open_what_is_for_replicas() {
     let fleet = fleet();
     let relay = fleet.member(Role::Relay);
-    let refused = connect(&relay, fleet.address, Role::Control, Purpose::Consensus);
-    let error = refused.err().map(|error| error.to_string()).unwrap_or_default();
+    let result = connect(&relay, fleet.address, Role::Control, Purpose::Consensus);
+    let error = result.err().map(|error| error.to_string()).unwrap_or_default();
     assert!(error.contains("may not open Consensus"), "{error}");
 }
 
@@ -130,37 +134,37 @@
 #[test]
 fn random_bytes_do_not_stop_a_server() {
     let fleet = fleet();
-    let mut random = fastrand::Rng::with_seed(1);
+    let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..40 {
         let mut socket = TcpStream::connect(fleet.address).unwrap();
-        let bytes: Vec<u8> = (0..random.usize(0..400)).map(|_| random.u8(..)).collect();
+        let bytes: Vec<u8> = (0..rng.usize(0..400)).map(|_| rng.u8(..)).collect();
         let _ = socket.write_all(&bytes);
     }
-    fleet.still_serves();
+    fleet.assert_still_serves();
 }
 
 #[test]
 fn malformed_frames_are_typed_errors() {
-    let mut whole = Vec::new();
+    let mut frame = Vec::new();
     let hello = Hello { protocol: PROTOCOL_VERSION, purpose: Purpose::ProxyWatch };
-    write_frame(&mut whole, &hello).unwrap();
-    for length in 0..whole.len() {
-        let cut = read_frame::<Hello>(&mut &whole[..length]);
-        assert!(matches!(cut, Err(FrameError::Io { .. })), "cut at {length}");
+    write_frame(&mut frame, &hello).unwrap();
+    for length in 0..frame.len() {
+        let truncated = read_frame::<Hello>(&mut &frame[..length]);
+        assert!(matches!(truncated, Err(FrameError::Io { .. })), "truncated to {length} bytes");
     }
-    let mut long = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
-    long.extend_from_slice(&[0; 16]);
-    let too_long = read_frame::<Hello>(&mut &long[..]);
+    let mut oversized = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
+    oversized.extend_from_slice(&[0; 16]);
+    let too_long = read_frame::<Hello>(&mut &oversized[..]);
     assert!(matches!(too_long, Err(FrameError::TooLong { .. })));
-    let mut wrong = whole.clone();
-    wrong[6] = 0xee;
-    let undecodable = read_frame::<Hello>(&mut &wrong[..]);
+    let mut invalid = frame.clone();
+    invalid[6] = 0xee;
+    let undecodable = read_frame::<Hello>(&mut &invalid[..]);
     assert!(matches!(undecodable, Err(FrameError::Undecodable { .. })));
 }
 
 #[test]
 fn another_protocol_version_is_refused_by_name() {
-    // The greeting as a newer release would send it.
+    // A hello message as a newer release would send it.
     let hello = Hello { protocol: PROTOCOL_VERSION + 1, purpose: Purpose::RelayWatch };
     let encoded = hello.write_to_vec().unwrap();
     let fleet = fleet();
@@ -175,6 +179,6 @@
     let (reply, _) = read_frame::<wire::HelloReply>(&mut stream).unwrap();
     match reply {
         wire::HelloReply::Refused { reason } => assert!(reason.contains("is not spoken here")),
-        wire::HelloReply::Welcome => panic!("it was welcome"),
+        wire::HelloReply::Welcome => panic!("the newer protocol version was accepted"),
     }
 }
