--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,13 +1,13 @@
-//! Collecting what is wrong with a settings file.
+//! Collects all problems of a settings file.
 
 use std::fmt;
 
-/// One field that is not acceptable.
+/// An invalid field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// Name of the field.
     pub field: &'static str,
-    /// What is wrong, with the allowed values.
+    /// What is wrong, usually with the allowed values.
     pub reason: String,
 }
 
@@ -17,31 +17,31 @@
     }
 }
 
-/// Problems found so far.
+/// Validation helpers that collect the problems found.
 #[derive(Clone, Debug, Default)]
 pub struct Checks {
     problems: Vec<Problem>,
 }
 
 impl Checks {
-    /// Requires `least <= value <= most`.
-    pub fn range(&mut self, field: &'static str, value: u64, least: u64, most: u64) {
-        if !(least..=most).contains(&value) {
-            self.problem(field, format!("{value} is outside {least} to {most}"));
+    /// Requires `min <= value <= max`.
+    pub fn range(&mut self, field: &'static str, value: u64, min: u64, max: u64) {
+        if !(min..=max).contains(&value) {
+            self.problem(field, format!("{value} is outside {min} to {max}"));
         }
     }
 
-    /// Requires a name usable in a DNS label.
+    /// Requires a value that is valid as a DNS label: 1 to 63 characters of a-z, 0-9 and -.
     pub fn name(&mut self, field: &'static str, value: &str) {
         let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         let valid = !value.is_empty() && value.len() <= 63 && value.chars().all(allowed);
         if !valid {
-            let reason = format!("'{value}' is not 1 to 63 characters out of a-z 0-9 -");
+            let reason = format!("'{value}' is not 1 to 63 characters of a-z, 0-9 and -");
             self.problem(field, reason);
         }
     }
 
-    /// Requires a condition.
+    /// Requires a condition; `reason` describes the problem if it is false.
     pub fn require(&mut self, field: &'static str, condition: bool, reason: &str) {
         if !condition {
             self.problem(field, reason.to_owned());
@@ -52,7 +52,7 @@
         self.problems.push(Problem { field, reason });
     }
 
-    /// Everything found.
+    /// All problems found.
     pub fn into_problems(self) -> Vec<Problem> {
         self.problems
     }
--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -5,15 +5,15 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// One control replica, as the others reach it.
+/// A control replica, as the other replicas reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Member id, never reused after its disk was lost.
+    /// Member id; must not be reused after the replica lost its disk.
     pub id: u64,
-    /// Address for our own processes.
+    /// Address for other processes of the fleet.
     pub address: SocketAddr,
-    /// Address for operators.
+    /// Address of the operator API.
     pub api_address: SocketAddr,
 }
 
@@ -21,43 +21,43 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Name of the fleet; a data folder of another fleet is refused.
+    /// Name of the fleet; a data directory of another fleet is rejected.
     pub fleet: String,
     /// Member id of this replica.
     pub member_id: u64,
-    /// Address for our own processes.
+    /// Address for other processes of the fleet.
     pub listen: SocketAddr,
-    /// Address for operators.
+    /// Address of the operator API.
     pub api_listen: SocketAddr,
-    /// Address for metrics, health and readiness.
+    /// Address of the metrics, health and readiness endpoints.
     pub metrics_listen: SocketAddr,
-    /// Folder for all durable state.
+    /// Directory for all durable state.
     pub data_dir: PathBuf,
-    /// List of operators.
+    /// Path of the operators file.
     pub operators_file: PathBuf,
-    /// Certificate.
+    /// TLS files.
     pub tls: TlsSettings,
-    /// All replicas, this one included.
+    /// All control replicas, including this one.
     pub peer: Vec<PeerSettings>,
-    /// Independent groups that claims are spread over.
+    /// Number of independent consensus groups that claims are sharded over.
     #[serde(default = "default_claim_groups")]
     pub claim_groups: u32,
-    /// Length of one tick of the consensus clock, milliseconds.
+    /// Duration of one tick of the consensus clock, in milliseconds.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
-    /// Shortest time without a leader before an election, milliseconds; the longest is twice it.
+    /// Minimum election timeout in milliseconds; the maximum is twice as long.
     #[serde(default = "default_election_ms")]
     pub election_ms: u64,
-    /// Time between heartbeats of a leader, milliseconds.
+    /// Interval between heartbeats of a leader, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Longest time a relay's request is held without news, milliseconds.
+    /// Maximum time for which a relay's long poll is held without an update, in milliseconds.
     #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// Relays served at once; the rest are told when to come back.
+    /// Maximum number of relays served at once; others are told when to retry.
     #[serde(default = "default_max_readers")]
     pub max_readers: u64,
-    /// Log size at which a checkpoint is made, bytes.
+    /// Log size at which a checkpoint is written, in bytes.
     #[serde(default = "default_checkpoint_bytes")]
     pub checkpoint_bytes: u64,
 }
@@ -99,7 +99,7 @@
         ids.sort_unstable();
         ids.dedup();
         checks.require("peer", ids.len() == self.peer.len(), "two peers have the same id");
-        let own = ids.contains(&self.member_id);
-        checks.require("peer", own, "this member's own id must be listed");
+        let lists_itself = ids.contains(&self.member_id);
+        checks.require("peer", lists_itself, "this member's own id must be listed");
     }
 }
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -9,60 +9,62 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorSettings {
-    /// Name of the fleet; connections and data of another fleet are refused.
+    /// Name of the fleet; connections and data of another fleet are rejected.
     pub fleet: String,
     /// Name of this process in logs.
     pub name: String,
-    /// Its zone; sidecars prefer a coordinator of their own. Empty: none is nearer.
+    /// Zone of the coordinator; sidecars prefer a coordinator in their own zone. If empty, no
+    /// sidecar prefers it.
     #[serde(default)]
     pub zone: String,
-    /// Its own address.
+    /// IP address of this machine.
     pub ip: Ipv4Addr,
-    /// Port on which coordinators and sidecars reach coordinators, alike on all machines.
+    /// Port on which coordinators and sidecars reach coordinators; the same on all machines.
     pub mesh_port: u16,
-    /// Address for operators; the port is alike on all machines.
+    /// Address of the operator API; the port is the same on all machines.
     pub api_listen: SocketAddrV4,
-    /// Address for metrics, health and readiness.
+    /// Address of the metrics, health and readiness endpoints.
     pub metrics_listen: SocketAddrV4,
-    /// Folder for all durable state.
+    /// Directory for all durable state.
     pub data_dir: PathBuf,
-    /// Some coordinators; of a new fleet, its first voters.
+    /// Addresses of some coordinators; for a new fleet, its initial voters.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether an empty data folder may begin a new fleet.
+    /// Whether a coordinator with an empty data directory may bootstrap a new fleet.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Connections between processes are neither encrypted nor authenticated. There is no other
-    /// transport for coordinators yet, so the settings must say that this is known.
+    /// Acknowledges that connections between processes are neither encrypted nor authenticated.
+    /// Must be true, because coordinators have no other transport yet.
     pub plain_transport: bool,
-    /// Principal whose replacements arrive signed off; empty: nobody.
+    /// Principal whose configuration replacements need no further approval; empty for none.
     #[serde(default)]
     pub trusted_source: String,
-    /// Members that vote, once there are as many; see [`CoordinatorSettings::desired_voters`].
+    /// Desired number of voting members, once there are as many members; see
+    /// [`CoordinatorSettings::desired_voters`].
     #[serde(default = "default_voters")]
     pub voters: u64,
-    /// Machines of coordinators that may lose their disks at once.
+    /// Number of coordinator machines that may lose their disks at the same time.
     #[serde(default = "default_tolerated_losses")]
     pub tolerated_losses: u64,
-    /// Time without a sign of life after which a voter is exchanged for a spare member, ms.
+    /// Time without contact after which a voter is replaced by a non-voting member, in ms.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// Time without a sign of life after which a sidecar is taken for gone, milliseconds.
+    /// Time without contact after which a sidecar is considered gone, in milliseconds.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Length of one tick of the consensus clock, milliseconds.
+    /// Duration of one tick of the consensus clock, in milliseconds.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
-    /// Shortest time without a leader before an election, milliseconds; the longest is twice it.
+    /// Minimum election timeout in milliseconds; the maximum is twice as long.
     #[serde(default = "default_election_ms")]
     pub election_ms: u64,
-    /// Time between heartbeats of a leader, milliseconds.
+    /// Interval between heartbeats of a leader, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Log size at which a checkpoint is made, bytes.
+    /// Log size at which a checkpoint is written, in bytes.
     #[serde(default = "default_checkpoint_bytes")]
     pub checkpoint_bytes: u64,
-    /// Part of a service's calls that a new version of its upstreams may have been given by the time
-    /// at which it turns out to be bad, 0 to 1.
+    /// Maximum fraction of a service's calls that a new version of its upstreams may have received
+    /// by the time it is found to be bad; above 0, at most 1.
     #[serde(default = "default_canary_exposed_part")]
     pub canary_exposed_part: f64,
 }
@@ -97,8 +99,8 @@
 }
 
 impl CoordinatorSettings {
-    /// Voters that the group should have: a majority of them must outlive the losses that are to be
-    /// borne at once.
+    /// Number of voters that the group should have: at least so many that a majority survives the
+    /// tolerated number of simultaneous losses.
     pub fn desired_voters(&self) -> u64 {
         self.voters.max(2 * self.tolerated_losses + 1)
     }
@@ -107,10 +109,14 @@
 impl Validate for CoordinatorSettings {
     fn validate(&self, checks: &mut Checks) {
         checks.name("fleet", &self.fleet);
-        checks.require("plain_transport", self.plain_transport, "only true is possible");
+        checks.require(
+            "plain_transport",
+            self.plain_transport,
+            "must be true; no other transport is supported",
+        );
         checks.require("seeds", !self.seeds.is_empty(), "at least one seed is needed");
-        let exposed = self.canary_exposed_part > 0.0 && self.canary_exposed_part <= 1.0;
-        checks.require("canary_exposed_part", exposed, "must be above 0 and at most 1");
+        let valid_part = self.canary_exposed_part > 0.0 && self.canary_exposed_part <= 1.0;
+        checks.require("canary_exposed_part", valid_part, "must be above 0 and at most 1");
         checks.range("voters", self.voters, 1, 9);
         checks.range("tolerated_losses", self.tolerated_losses, 0, 4);
         checks.range("silence_ms", self.silence_ms, 2 * self.election_ms, 600_000);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Typed settings of each role, read from one TOML file and checked before anything starts.
+//! Typed settings of each role, read from one TOML file and validated before anything starts.
 //!
-//! Names carry their units. Unknown keys are refused. `--set key=value` flags override the file.
+//! Names carry their units. Unknown keys are rejected. `--set key=value` flags override the file.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -22,20 +22,20 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// Where a process finds its certificate.
+/// Paths of a process's TLS files.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// Certificates of the authorities trusted, PEM; two during a replacement.
+    /// Trusted CA certificates, PEM; two during a CA rotation.
     pub authority: PathBuf,
-    /// Own certificate, PEM.
+    /// The process's certificate chain, PEM.
     pub certificate: PathBuf,
-    /// Own private key, PEM.
+    /// The process's private key, PEM.
     pub key: PathBuf,
 }
 
-/// Settings that can be checked after they were read.
+/// Settings whose values are validated after parsing.
 pub trait Validate {
-    /// Adds every problem found.
+    /// Adds every problem found to `checks`.
     fn validate(&self, checks: &mut Checks);
 }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading settings files and applying overrides.
+//! Reads settings files and applies overrides.
 
 use crate::{Checks, Validate};
 use serde::de::DeserializeOwned;
@@ -7,44 +7,44 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Why settings were not accepted.
+/// Why settings were rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
     Read {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a field is unknown, missing or of the wrong type.
+    /// The file is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[snafu(display("{}:{line}: {message}", path.display()))]
     Syntax {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser says; it names the field.
+        /// Message of the parser; it names the field.
         message: String,
     },
-    /// An override is not `key=value` or does not fit the settings.
+    /// An override is not `key=value`, or is not valid for these settings.
     #[snafu(display("--set {text}: {message}"))]
     Override {
-        /// As given.
+        /// The override as given on the command line.
         text: String,
-        /// What is wrong.
+        /// Why it is rejected.
         message: String,
     },
-    /// Values are out of range.
+    /// One or more values are invalid.
     #[snafu(display("{}", lines.join("\n")))]
     Invalid {
-        /// One line per problem: file, field, reason.
+        /// One line per problem: file, field and reason.
         lines: Vec<String>,
     },
 }
 
-/// Reads, overrides and checks settings.
+/// Reads a settings file, applies the overrides and validates the result.
 pub fn load<T>(path: &Path, overrides: &[String]) -> Result<T, SettingsError>
 where
     T: DeserializeOwned + Validate,
@@ -89,40 +89,40 @@
         .ok()
         .and_then(|mut parsed| parsed.remove("value"))
         .unwrap_or_else(|| toml::Value::String(value.to_owned()));
-    let mut place = table;
+    let mut parent = table;
     let mut parts: Vec<&str> = key.split('.').collect();
     let last = parts.pop().unwrap_or_default();
     for part in parts {
-        let inner = place.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        let child = parent.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
         let message = format!("'{part}' is not a table");
-        place = inner.as_table_mut().context(OverrideSnafu { text, message })?;
+        parent = child.as_table_mut().context(OverrideSnafu { text, message })?;
     }
-    place.insert(last.to_owned(), parsed);
+    parent.insert(last.to_owned(), parsed);
     Ok(())
 }
 
-/// Prints settings with their defaults filled in.
+/// Serializes settings as TOML, with defaults filled in.
 pub fn to_toml<T: Serialize>(settings: &T) -> String {
-    toml::to_string(settings).unwrap_or_else(|error| format!("# cannot be printed: {error}\n"))
+    toml::to_string(settings).unwrap_or_else(|error| format!("# cannot be serialized: {error}\n"))
 }
 
-/// An operator with the public key and roles.
+/// An operator with a public key and roles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorEntry {
-    /// Name.
+    /// Name of the operator.
     pub name: String,
     /// Ed25519 public key, 64 hexadecimal digits.
     pub public_key: String,
-    /// What the operator may do: `submit`, `approve`, `roll`, `members`; reading is open to all.
+    /// Roles: `submit`, `approve`, `roll`, `members`. Reading requires no role.
     pub roles: Vec<String>,
 }
 
-/// The list of operators.
+/// Content of the operators file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorsFile {
-    /// The operators.
+    /// The operators, one `[[operator]]` table each.
     #[serde(default)]
     pub operator: Vec<OperatorEntry>,
 }
@@ -132,16 +132,20 @@
         const ROLES: [&str; 4] = ["submit", "approve", "roll", "members"];
         for operator in &self.operator {
             checks.name("operator.name", &operator.name);
-            let hex = operator.public_key.len() == 64
+            let valid_key = operator.public_key.len() == 64
                 && operator.public_key.chars().all(|c| c.is_ascii_hexdigit());
-            checks.require("operator.public_key", hex, "must be 64 hexadecimal digits");
-            let known = operator.roles.iter().all(|role| ROLES.contains(&role.as_str()));
-            checks.require("operator.roles", known, "may hold submit, approve, roll, members");
+            checks.require("operator.public_key", valid_key, "must be 64 hexadecimal digits");
+            let valid_roles = operator.roles.iter().all(|role| ROLES.contains(&role.as_str()));
+            checks.require(
+                "operator.roles",
+                valid_roles,
+                "allowed are submit, approve, roll, members",
+            );
         }
     }
 }
 
-/// Reads the list of operators.
+/// Reads and validates the operators file.
 pub fn load_operators(path: &Path) -> Result<OperatorsFile, SettingsError> {
     load(path, &[])
 }
--- a/crates/settings/src/proxy.rs
+++ b/crates/settings/src/proxy.rs
@@ -9,21 +9,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelayAddressSettings {
-    /// Address.
+    /// Address of the relay.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the relay.
     pub zone: String,
-    /// Its region.
+    /// Region of the relay.
     pub region: String,
 }
 
-/// A back end on the proxy's own node.
+/// A backend on the proxy's own node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LocalBackendSettings {
-    /// Its service.
+    /// Service of the backend.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
 }
 
@@ -33,49 +33,51 @@
 pub struct ProxySettings {
     /// Name of the fleet.
     pub fleet: String,
-    /// Unique name of this proxy, stable over restarts.
+    /// Unique name of this proxy, stable across restarts.
     pub name: String,
-    /// Its zone.
+    /// Zone of this proxy.
     pub zone: String,
-    /// Its region.
+    /// Region of this proxy.
     pub region: String,
-    /// Address for callers.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Address for metrics, health and readiness.
+    /// Address of the metrics, health and readiness endpoints.
     pub metrics_listen: SocketAddr,
-    /// Certificate.
+    /// TLS files.
     pub tls: TlsSettings,
     /// Relays, in any order.
     pub relay: Vec<RelayAddressSettings>,
-    /// Keys that open secrets.
+    /// Path of the keys that decrypt secrets.
     pub seal_key_file: PathBuf,
-    /// Operators whose approval of a bundle is accepted.
+    /// Path of the operators file, with the operators whose approval of a bundle is accepted.
     pub operators_file: PathBuf,
-    /// Folder for the applied configuration, if the node has a disk.
+    /// Directory for the applied configuration, if the node has a disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// Back ends on this node, watched for draining.
+    /// Backends on this node, whose health endpoint is polled to detect draining.
     #[serde(default)]
     pub local_backend: Vec<LocalBackendSettings>,
-    /// Connections of callers served at once, a thread each; more are refused as not run.
+    /// Maximum number of caller connections served at once, with one thread each; calls on further
+    /// connections are refused as not run.
     #[serde(default = "default_workers")]
     pub workers: u64,
-    /// Calls accepted at once, waiting ones included.
+    /// Maximum number of concurrent calls, including queued ones.
     #[serde(default = "default_max_calls")]
     pub max_calls: u64,
-    /// Largest request or answer body, bytes.
+    /// Maximum size of a request or response body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Time between two looks at a local back end's health, milliseconds.
+    /// Interval at which the health of local backends is polled, in milliseconds.
     #[serde(default = "default_health_poll_ms")]
     pub health_poll_ms: u64,
-    /// On a planned stop, time for callers to go elsewhere before the last call is awaited, ms.
+    /// On a planned stop, time that callers have to move to other proxies before the proxy waits
+    /// for the last calls, in ms.
     #[serde(default = "default_drain_notice_ms")]
     pub drain_notice_ms: u64,
-    /// On a planned stop, longest wait for calls in flight, milliseconds.
+    /// On a planned stop, maximum wait for calls in flight, in milliseconds.
     #[serde(default = "default_drain_limit_ms")]
     pub drain_limit_ms: u64,
-    /// How long the outcome of a keyed call is kept, seconds.
+    /// How long the outcome of a call with an idempotency key is kept, in seconds.
     #[serde(default = "default_claim_keep_s")]
     pub claim_keep_s: u64,
 }
--- a/crates/settings/src/relay.rs
+++ b/crates/settings/src/relay.rs
@@ -10,7 +10,7 @@
 pub struct ControlAddressSettings {
     /// Member id.
     pub id: u64,
-    /// Address for our own processes.
+    /// Address for other processes of the fleet.
     pub address: SocketAddr,
 }
 
@@ -22,39 +22,41 @@
     pub fleet: String,
     /// Unique name of this relay.
     pub name: String,
-    /// Its zone.
+    /// Zone of this relay.
     pub zone: String,
-    /// Its region.
+    /// Region of this relay.
     pub region: String,
     /// Address for proxies and other relays.
     pub listen: SocketAddr,
-    /// Address for metrics, health and readiness.
+    /// Address of the metrics, health and readiness endpoints.
     pub metrics_listen: SocketAddr,
-    /// Certificate.
+    /// TLS files.
     pub tls: TlsSettings,
     /// Control replicas.
     pub control: Vec<ControlAddressSettings>,
-    /// Other relays, to exchange leaving marks with.
+    /// Other relays, with which this relay exchanges leaving marks.
     #[serde(default)]
     pub peer: Vec<SocketAddr>,
-    /// Address of the platform's list of machines.
+    /// URL of the platform's list of machines.
     pub platform_url: String,
-    /// Time between two readings of the list, milliseconds.
+    /// Interval at which the list of machines is polled, in milliseconds.
     #[serde(default = "default_platform_poll_ms")]
     pub platform_poll_ms: u64,
-    /// Longest time a proxy's request is held without news, milliseconds.
+    /// Maximum time for which a proxy's long poll is held without an update, in milliseconds.
     #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// A proxy not heard from for this long is reported as unknown, milliseconds.
+    /// Time without contact after which a proxy is reported as unknown, in milliseconds.
     #[serde(default = "default_proxy_lease_ms")]
     pub proxy_lease_ms: u64,
-    /// Snapshots and other large updates sent at once; the rest are told when to come back.
+    /// Maximum number of snapshots and other large updates sent at once; other proxies are told
+    /// when to retry.
     #[serde(default = "default_max_catch_ups")]
     pub max_catch_ups: u64,
-    /// Connections accepted at once.
+    /// Maximum number of open connections.
     #[serde(default = "default_max_connections")]
     pub max_connections: u64,
-    /// Groups that claims are spread over; the same as control's.
+    /// Number of groups that claims are sharded over; must be the same as in the control replicas'
+    /// settings.
     #[serde(default = "default_claim_groups")]
     pub claim_groups: u32,
 }
@@ -91,7 +93,7 @@
         checks.range("max_catch_ups", self.max_catch_ups, 1, 10_000);
         checks.range("max_connections", self.max_connections, 1, 100_000);
         checks.range("claim_groups", u64::from(self.claim_groups), 0, 64);
-        let http = self.platform_url.starts_with("http://");
-        checks.require("platform_url", http, "must begin with http://");
+        let is_http = self.platform_url.starts_with("http://");
+        checks.require("platform_url", is_http, "must begin with http://");
     }
 }
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -5,25 +5,25 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The fleet's bound on calls that are sent a second time.
+/// Limit on repeats (calls that are sent again) over the whole fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
-    /// Repeats per request.
+    /// Maximum ratio of repeats to requests.
     pub ratio: f64,
-    /// Repeats granted besides, over the whole fleet and one window.
+    /// Repeats allowed in addition, over the whole fleet and one window.
     pub slack: f64,
-    /// Length of the window, seconds.
+    /// Length of the window, in seconds.
     pub window_s: u64,
 }
 
-/// How far calls to a cold upstream may exceed what its service says that one bears.
+/// How far the calls to a cold upstream may exceed the rate that its service declares for one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStartSettings {
-    /// Calls a second, as a multiple of what it bears.
+    /// Maximum rate of calls, as a multiple of the declared rate.
     pub over: f64,
-    /// Calls beyond that within one second.
+    /// Calls allowed in addition within one second.
     pub slack: f64,
 }
 
@@ -37,57 +37,57 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarSettings {
-    /// Name of the fleet; coordinators of another fleet are refused.
+    /// Name of the fleet; coordinators of another fleet are rejected.
     pub fleet: String,
     /// Name of this process in logs.
     pub name: String,
-    /// Its zone.
+    /// Zone of this machine.
     pub zone: String,
-    /// Its own address.
+    /// IP address of this machine.
     pub ip: Ipv4Addr,
-    /// Port on which coordinators are reached, alike on all machines.
+    /// Port on which coordinators are reached; the same on all machines.
     pub mesh_port: u16,
-    /// Address for callers on this machine.
+    /// Address on which callers on this machine connect.
     pub outbound_listen: SocketAddrV4,
-    /// Address for peers.
+    /// Address on which other sidecars connect.
     pub inbound_listen: SocketAddrV4,
-    /// Address for readiness.
+    /// Address of the readiness endpoint.
     pub ready_listen: SocketAddrV4,
-    /// Address where the upstream registers.
+    /// Address on which the upstream registers.
     pub registration_listen: SocketAddrV4,
-    /// Address for metrics, health and readiness.
+    /// Address of the metrics, health and readiness endpoints.
     pub metrics_listen: SocketAddrV4,
     /// Address of the upstream.
     pub upstream: SocketAddrV4,
-    /// Service of the upstream.
+    /// Service that the upstream belongs to.
     pub service: String,
-    /// Some coordinators.
+    /// Addresses of some coordinators.
     pub seeds: Vec<SocketAddrV4>,
-    /// Connections between processes are neither encrypted nor authenticated; see the
-    /// coordinators' settings.
+    /// Acknowledges that connections between processes are neither encrypted nor authenticated.
+    /// Must be true; see [`crate::CoordinatorSettings::plain_transport`].
     pub plain_transport: bool,
-    /// Bound on repeats.
+    /// Limit on repeats.
     pub retry_budget: RetryBudgetSettings,
-    /// Region of each zone; zones that are not named are all in one. Calls stay in their region while
-    /// it has room.
+    /// Region of each zone; all zones that are not listed form one region. Calls stay in their
+    /// region while it has capacity.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// Bound on calls to cold upstreams.
+    /// Limit on calls to cold upstreams.
     #[serde(default)]
     pub cold_start: ColdStartSettings,
-    /// Time after an upstream said that it leaves, until it is given no more calls, ms.
+    /// Time after an upstream announced that it is leaving, until it is sent no more calls, in ms.
     pub drain_ms: u64,
-    /// Longest time for a planned stop, milliseconds.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_ms: u64,
-    /// Speed of this machine's link, megabits a second; peers send less over one that is nearly
-    /// full. 0 if it is not known.
+    /// Speed of this machine's network link in megabits per second; peers send less over a link
+    /// that is nearly saturated. 0 if it is not known.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Whether a repeatable call that takes longer than nearly all of its like is also sent to a second
-    /// upstream that has an idle slot, within the bound on repeats.
+    /// Whether a repeatable call that takes longer than nearly all similar calls is hedged: also
+    /// sent to a second upstream that has an idle slot, within the limit on repeats.
     #[serde(default = "default_hedging")]
     pub hedging: bool,
-    /// One of so many calls has every step logged, the same ones on all nodes; refusals and
+    /// One in this many calls has every step logged, the same calls on all nodes; refusals and
     /// failures are always logged.
     #[serde(default = "default_log_sample")]
     pub log_sample: u64,
@@ -104,7 +104,11 @@
 impl Validate for SidecarSettings {
     fn validate(&self, checks: &mut Checks) {
         checks.name("fleet", &self.fleet);
-        checks.require("plain_transport", self.plain_transport, "only true is possible");
+        checks.require(
+            "plain_transport",
+            self.plain_transport,
+            "must be true; no other transport is supported",
+        );
         checks.require("seeds", !self.seeds.is_empty(), "at least one seed is needed");
         checks.require("service", !self.service.is_empty(), "must name a service");
         checks.range("drain_ms", self.drain_ms, 100, 600_000);
@@ -112,13 +116,13 @@
         checks.range("log_sample", self.log_sample, 1, 1_000_000);
         checks.range("retry_budget.window_s", self.retry_budget.window_s, 1, 3_600);
         checks.require("link_mbps", self.link_mbps >= 0.0, "must not be below 0");
-        let ratio = (0.0..=1.0).contains(&self.retry_budget.ratio);
-        checks.require("retry_budget.ratio", ratio, "must be 0 to 1");
-        let over = (0.1..=100.0).contains(&self.cold_start.over);
-        checks.require("cold_start.over", over, "must be 0.1 to 100");
-        let cold_slack = (0.0..=1e6).contains(&self.cold_start.slack);
-        checks.require("cold_start.slack", cold_slack, "must be 0 to 1000000");
-        let slack = self.retry_budget.slack >= 0.0;
-        checks.require("retry_budget.slack", slack, "must not be below 0");
+        let valid_ratio = (0.0..=1.0).contains(&self.retry_budget.ratio);
+        checks.require("retry_budget.ratio", valid_ratio, "must be 0 to 1");
+        let valid_over = (0.1..=100.0).contains(&self.cold_start.over);
+        checks.require("cold_start.over", valid_over, "must be 0.1 to 100");
+        let valid_cold_slack = (0.0..=1e6).contains(&self.cold_start.slack);
+        checks.require("cold_start.slack", valid_cold_slack, "must be 0 to 1000000");
+        let valid_slack = self.retry_budget.slack >= 0.0;
+        checks.require("retry_budget.slack", valid_slack, "must not be below 0");
     }
 }
--- a/crates/settings/tests/bad_settings.rs
+++ b/crates/settings/tests/bad_settings.rs
@@ -1,4 +1,5 @@
-//! Settings that must not start anything, and what is said of them.
+//! Invalid settings of relays and control replicas are rejected with a message that names the
+//! field.
 
 use expect_test::expect;
 use settings::{ControlSettings, RelaySettings};
@@ -20,11 +21,11 @@
 address = "127.0.0.1:1"
 "#;
 
-fn relay(text: &str, overrides: &[&str]) -> String {
+fn load_relay(text: &str, overrides: &[&str]) -> String {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("relay.toml");
     std::fs::write(&path, text).unwrap();
-    let overrides: Vec<String> = overrides.iter().map(|one| (*one).to_owned()).collect();
+    let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
     match settings::load::<RelaySettings>(&path, &overrides) {
         Ok(settings) => format!("accepted, hold_ms = {}", settings.hold_ms),
         Err(error) => error.to_string().replace(&format!("{}/", folder.path().display()), ""),
@@ -33,20 +34,20 @@
 
 #[test]
 fn defaults_and_overrides_are_accepted() {
-    expect!["accepted, hold_ms = 2500"].assert_eq(&relay(RELAY, &[]));
-    expect!["accepted, hold_ms = 900"].assert_eq(&relay(RELAY, &["hold_ms=900"]));
+    expect!["accepted, hold_ms = 2500"].assert_eq(&load_relay(RELAY, &[]));
+    expect!["accepted, hold_ms = 900"].assert_eq(&load_relay(RELAY, &["hold_ms=900"]));
 }
 
 #[test]
 fn mistakes_are_named_with_the_field_and_the_range() {
     expect!["relay.toml: hold_ms: 1 is outside 100 to 30000"]
-        .assert_eq(&relay(RELAY, &["hold_ms=1"]));
-    expect!["--set hold=1000: unknown field `hold`, expected one of `fleet`, `name`, `zone`, `region`, `listen`, `metrics_listen`, `tls`, `control`, `peer`, `platform_url`, `platform_poll_ms`, `hold_ms`, `proxy_lease_ms`, `max_catch_ups`, `max_connections`, `claim_groups`"].assert_eq(&relay(RELAY, &["hold=1000"]));
-    expect!["relay.toml:5: unknown field `regoin`, expected one of `fleet`, `name`, `zone`, `region`, `listen`, `metrics_listen`, `tls`, `control`, `peer`, `platform_url`, `platform_poll_ms`, `hold_ms`, `proxy_lease_ms`, `max_catch_ups`, `max_connections`, `claim_groups`"].assert_eq(&relay(&RELAY.replace("region", "regoin"), &[]));
+        .assert_eq(&load_relay(RELAY, &["hold_ms=1"]));
+    expect!["--set hold=1000: unknown field `hold`, expected one of `fleet`, `name`, `zone`, `region`, `listen`, `metrics_listen`, `tls`, `control`, `peer`, `platform_url`, `platform_poll_ms`, `hold_ms`, `proxy_lease_ms`, `max_catch_ups`, `max_connections`, `claim_groups`"].assert_eq(&load_relay(RELAY, &["hold=1000"]));
+    expect!["relay.toml:5: unknown field `regoin`, expected one of `fleet`, `name`, `zone`, `region`, `listen`, `metrics_listen`, `tls`, `control`, `peer`, `platform_url`, `platform_poll_ms`, `hold_ms`, `proxy_lease_ms`, `max_catch_ups`, `max_connections`, `claim_groups`"].assert_eq(&load_relay(&RELAY.replace("region", "regoin"), &[]));
     expect!["relay.toml: platform_url: must begin with http://"]
-        .assert_eq(&relay(&RELAY.replace("http://", "ftp://"), &[]));
+        .assert_eq(&load_relay(&RELAY.replace("http://", "ftp://"), &[]));
     expect!["relay.toml:1: string values must be quoted, expected literal string"]
-        .assert_eq(&relay("name = ", &[]));
+        .assert_eq(&load_relay("name = ", &[]));
 }
 
 #[test]
@@ -60,7 +61,7 @@
          {peer}{peer}[tls]\nauthority = \"a\"\ncertificate = \"c\"\nkey = \"k\"\n"
     );
     std::fs::write(&path, text).unwrap();
-    let told = settings::load::<ControlSettings>(&path, &[]).unwrap_err().to_string();
-    assert!(told.contains("two peers have the same id"), "{told}");
-    assert!(told.contains("own id must be listed"), "{told}");
+    let message = settings::load::<ControlSettings>(&path, &[]).unwrap_err().to_string();
+    assert!(message.contains("two peers have the same id"), "{message}");
+    assert!(message.contains("own id must be listed"), "{message}");
 }
--- a/crates/settings/tests/small_fleets.rs
+++ b/crates/settings/tests/small_fleets.rs
@@ -1,4 +1,4 @@
-//! Settings of coordinators and sidecars that must not start anything, and what is said of them.
+//! Invalid settings of coordinators and sidecars are rejected with a message that names the field.
 
 use settings::{CoordinatorSettings, SettingsError, SidecarSettings, Validate};
 
@@ -41,13 +41,13 @@
 where
     T: serde::de::DeserializeOwned + Validate,
 {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary directory");
     let path = folder.path().join("settings.toml");
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("the file is written");
     settings::load(&path, &[])
 }
 
-fn told<T>(text: &str) -> String
+fn error_message<T>(text: &str) -> String
 where
     T: serde::de::DeserializeOwned + Validate,
 {
@@ -79,8 +79,8 @@
                 text.lines().filter(|line| !line.starts_with(&prefix)).collect();
             let without = without.join("\n");
             let message = match text == COORDINATOR {
-                true => told::<CoordinatorSettings>(&without),
-                false => told::<SidecarSettings>(&without),
+                true => error_message::<CoordinatorSettings>(&without),
+                false => error_message::<SidecarSettings>(&without),
             };
             assert!(message.contains(key), "{key}: {message}");
         }
@@ -103,9 +103,9 @@
         ),
         ("zone = \"a\"", "zone = \"a\"\nzoen = 1", "zoen"),
     ];
-    for (right, wrong, named) in rows {
-        assert!(SIDECAR.contains(right), "{right}");
-        let message = told::<SidecarSettings>(&SIDECAR.replace(right, wrong));
-        assert!(message.contains(named), "{wrong}: {message}");
+    for (valid, invalid, expected) in rows {
+        assert!(SIDECAR.contains(valid), "{valid}");
+        let message = error_message::<SidecarSettings>(&SIDECAR.replace(valid, invalid));
+        assert!(message.contains(expected), "{invalid}: {message}");
     }
 }
