--- a/crates/telemetry/src/bounded.rs
+++ b/crates/telemetry/src/bounded.rs
@@ -1,20 +1,21 @@
-//! A writer of log lines with a bound on their number, told in the log when it is reached.
+//! A rate-limited writer for log lines, which reports the number of dropped lines in the log.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tracing_subscriber::fmt::MakeWriter;
 
-const WINDOW: Duration = Duration::from_secs(1);
+const WINDOW_DURATION: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Window {
-    began: Instant,
+    start: Instant,
     lines: u32,
     dropped: u64,
 }
 
-/// Passes on at most so many lines a second.
+/// Writer that passes on a limited number of lines per second and drops the rest. Clones share the
+/// limit.
 #[derive(Clone, Debug)]
 pub struct RateLimitedWriter<W> {
     inner: W,
@@ -23,25 +24,26 @@
 }
 
 impl<W> RateLimitedWriter<W> {
-    /// A writer in front of another; each write is one line.
+    /// Wraps `inner`. Each call of [`Write::write`] counts as one line.
     pub fn new(inner: W, lines_per_second: u32) -> Self {
-        let window = Window { began: Instant::now(), lines: 0, dropped: 0 };
+        let window = Window { start: Instant::now(), lines: 0, dropped: 0 };
         RateLimitedWriter { inner, lines_per_second, window: Arc::new(Mutex::new(window)) }
     }
 
-    /// Counts a line; the number dropped before is returned when a new window begins.
+    /// Counts a line. Returns whether to write it and, with the first line of a new window, the
+    /// number of lines dropped in the previous window.
     fn admit(&self) -> (bool, u64) {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut told = 0;
-        if window.began.elapsed() >= WINDOW {
-            told = std::mem::take(&mut window.dropped);
-            window.began = Instant::now();
+        let mut dropped_before = 0;
+        if window.start.elapsed() >= WINDOW_DURATION {
+            dropped_before = std::mem::take(&mut window.dropped);
+            window.start = Instant::now();
             window.lines = 0;
         }
         window.lines += 1;
         let admitted = window.lines <= self.lines_per_second;
         window.dropped += u64::from(!admitted);
-        (admitted, told)
+        (admitted, dropped_before)
     }
 }
 
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -1,39 +1,43 @@
-//! The clocks that ages, leases and deadlines are reckoned on: they go on while the machine sleeps.
+//! Clocks for ages, leases and deadlines that keep counting while the machine is suspended.
 //!
-//! `std::time::Instant` stands still while a machine is suspended, so what was known before would
-//! be taken for fresh after it. This is the one place where `CLOCK_BOOTTIME` is read. Timed waits
-//! still end by the steady clock; all of them are short.
+//! `std::time::Instant` does not advance during a suspend, so state from before it would be
+//! considered fresh afterwards. This is the only place that reads `CLOCK_BOOTTIME`. Timed waits
+//! still use the monotonic clock; all of them are short.
 
 use nix::time::{clock_gettime, ClockId};
 use std::ops::Add;
 use std::time::{Duration, Instant};
 
-/// Less than this is the time between the readings of two clocks.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(20);
+/// Minimum difference between the clocks that counts as a suspend; a smaller one may be the time
+/// between the two readings.
+const MIN_SUSPEND: Duration = Duration::from_millis(20);
 
-/// Time since the machine started, sleep included.
+/// Time since the machine booted, including time suspended.
 fn since_boot() -> Option<Duration> {
     clock_gettime(ClockId::CLOCK_BOOTTIME).ok().map(Duration::from)
 }
 
-/// A moment on the clock that goes on while the machine sleeps; otherwise like
-/// [`std::time::Instant`].
+/// Like [`std::time::Instant`], but on a clock that keeps counting while the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// This moment. Linux has had the clock since 2.6.39; without it time stands still here, so the
-    /// process must not go on.
+    /// The current time.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the system has no `CLOCK_BOOTTIME`, which Linux has had since 2.6.39: without the
+    /// clock, time would not advance here, so the process must not continue.
     pub fn now() -> Self {
         BootInstant(since_boot().expect("the system has CLOCK_BOOTTIME"))
     }
 
-    /// Time that has passed since; none if the clock went back.
+    /// Time since this instant; zero if the clock went backwards.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// Time from an earlier moment to this one; none if that one is later.
+    /// Time from `earlier` to this instant; zero if `earlier` is later.
     pub fn saturating_duration_since(&self, earlier: BootInstant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -47,8 +51,8 @@
     }
 }
 
-/// Milliseconds since the process started, sleep of the machine included. A changed wall clock does
-/// not change it.
+/// Counts milliseconds since its creation, including time during which the machine is suspended.
+/// Changes of the wall clock do not affect it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: BootInstant,
@@ -61,37 +65,38 @@
 }
 
 impl Clock {
-    /// Milliseconds since the clock was made.
+    /// Milliseconds since the clock was created.
     pub fn now_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 }
 
-/// Notices that the machine slept: more time passed since boot than on the steady clock.
+/// Detects that the machine was suspended: more time passed on the boot clock than on the monotonic
+/// clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspendDetector {
     boot: BootInstant,
-    steady: Instant,
+    monotonic: Instant,
 }
 
 impl Default for SuspendDetector {
     fn default() -> Self {
-        SuspendDetector { boot: BootInstant::now(), steady: Instant::now() }
+        SuspendDetector { boot: BootInstant::now(), monotonic: Instant::now() }
     }
 }
 
 impl SuspendDetector {
-    /// How long the machine slept since the last look, if it did.
+    /// Returns how long the machine was suspended since the previous check, if it was.
     pub fn check(&mut self) -> Option<Duration> {
         self.check_at(BootInstant::now(), Instant::now())
     }
 
-    /// The same with both clocks read before.
-    pub fn check_at(&mut self, boot: BootInstant, steady: Instant) -> Option<Duration> {
-        let passed = boot.saturating_duration_since(self.boot);
-        let awake = steady.saturating_duration_since(self.steady);
-        *self = SuspendDetector { boot, steady };
-        let slept = passed.saturating_sub(awake);
-        (slept >= SHORTEST_SLEEP).then_some(slept)
+    /// Like [`SuspendDetector::check`], with given readings of the two clocks.
+    pub fn check_at(&mut self, boot: BootInstant, monotonic: Instant) -> Option<Duration> {
+        let boot_elapsed = boot.saturating_duration_since(self.boot);
+        let monotonic_elapsed = monotonic.saturating_duration_since(self.monotonic);
+        *self = SuspendDetector { boot, monotonic };
+        let suspended = boot_elapsed.saturating_sub(monotonic_elapsed);
+        (suspended >= MIN_SUSPEND).then_some(suspended)
     }
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,5 @@
-//! Logs, metrics, health endpoints, the monotonic clock and the stop signal.
+//! Logging, metrics, health endpoints, boot-time clocks, in-flight request tracking, and the stop
+//! and reload signals.
 #![forbid(unsafe_code)]
 
 mod bounded;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! One line of `key=value` pairs per event.
+//! Logging: one line of `key=value` pairs per event.
 
 use crate::RateLimitedWriter;
 use std::fmt;
@@ -11,15 +11,15 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Most lines written in a second; more are dropped, and how many is told.
+/// Maximum number of lines written per second; further lines are dropped and counted in the log.
 pub const LINES_PER_SECOND: u32 = 2_000;
-/// Lines that wait for the writer; more are dropped.
+/// Maximum number of lines that wait for the writer thread; further lines are dropped.
 const BUFFERED_LINES: usize = 2_048;
 
-/// What writes the lines that wait, while the process lives.
-static WORKER: Mutex<Option<WorkerGuard>> = Mutex::new(None);
+/// Guard of the writer thread; dropping it flushes the buffered lines.
+static WORKER_GUARD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
-/// The text names no log level.
+/// The text is not a log level.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownLevel(pub String);
 
@@ -31,25 +31,26 @@
 
 impl std::error::Error for UnknownLevel {}
 
-/// Reads a level's name.
+/// Parses the name of a log level.
 pub fn parse_level(text: &str) -> Result<Level, UnknownLevel> {
     text.parse().map_err(|_| UnknownLevel(text.to_owned()))
 }
 
-/// Sends events at or above `level` to standard error.
+/// Logs events at or above `level` to standard error.
 pub fn init_logging(level: Level) {
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .event_format(KeyValueFormat)
         .finish();
-    // A second call in one process (tests) keeps the first subscriber.
+    // A second call in one process, as in tests, keeps the first subscriber.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Sends events at or above `level` to standard output, through a bounded buffer with a writer of
-/// its own: a reader that stops reading costs lines, never time. Keep the guard until the end; it
-/// writes out what is left. At most [`LINES_PER_SECOND`] are written.
+/// Logs events at or above `level` to standard output, at most [`LINES_PER_SECOND`]. A bounded
+/// buffer with its own writer thread ensures that a reader that stops reading causes lines to be
+/// dropped but never blocks the process. Keep the guard until the end of the process; dropping it
+/// flushes the buffer.
 pub fn init_logging_to_stdout(level: Level) -> LogGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -61,28 +62,29 @@
         .event_format(KeyValueFormat)
         .finish();
     let _ = tracing::subscriber::set_global_default(subscriber);
-    *WORKER.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
+    *WORKER_GUARD.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
     LogGuard(())
 }
 
-/// Writes out the lines that wait when it is dropped.
+/// Flushes the buffered log lines when it is dropped.
 #[derive(Debug)]
 pub struct LogGuard(());
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        write_out();
+        flush_logs();
     }
 }
 
-fn write_out() {
-    let worker = WORKER.lock().unwrap_or_else(PoisonError::into_inner).take();
-    drop(worker);
+fn flush_logs() {
+    let guard = WORKER_GUARD.lock().unwrap_or_else(PoisonError::into_inner).take();
+    drop(guard);
 }
 
-/// Ends the process from any thread, after the lines that wait are written out: they say why.
+/// Flushes the buffered log lines, which contain the reason, and exits the process. May be called
+/// on any thread.
 pub fn flush_logs_and_exit(code: i32) -> ! {
-    write_out();
+    flush_logs();
     std::process::exit(code)
 }
 
@@ -116,11 +118,11 @@
 }
 
 impl KeyValueVisitor<'_, '_> {
-    fn pair(&mut self, name: &str, value: &str) {
+    fn write_pair(&mut self, name: &str, value: &str) {
         let name = if name == "message" { "event" } else { name };
-        let plain = !value.is_empty()
+        let needs_no_quotes = !value.is_empty()
             && value.chars().all(|c| c.is_ascii_graphic() && c != '"' && c != '=');
-        let written = if plain {
+        let written = if needs_no_quotes {
             write!(self.writer, " {name}={value}")
         } else {
             write!(self.writer, " {name}={value:?}")
@@ -131,10 +133,10 @@
 
 impl Visit for KeyValueVisitor<'_, '_> {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.pair(field.name(), value);
+        self.write_pair(field.name(), value);
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        self.pair(field.name(), &format!("{value:?}"));
+        self.write_pair(field.name(), &format!("{value:?}"));
     }
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges, served as text together with health, readiness and status.
+//! Metrics registry, and the HTTP server for metrics, health, readiness and status.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -11,25 +11,25 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// A number that only rises. Clones share the value.
+/// A monotonically increasing metric. Clones share the value.
 pub type Counter = PrometheusCounter;
-/// A number that rises and falls. Clones share the value.
+/// A metric that can increase and decrease. Clones share the value.
 pub type Gauge = PrometheusGauge;
 
-/// Times in seconds, counted by how long they were. Clones share the values.
+/// A histogram of durations in seconds. Clones share the values.
 pub type Histogram = PrometheusHistogram;
-/// Calls counted by route and outcome. Clones share the values.
+/// Call counters by route and outcome. Clones share the values.
 pub type CallCounters = Family<CallLabels, Counter>;
 
-/// Upper bounds of a histogram's buckets, seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS_S: [f64; 12] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
-/// What calls are counted by.
+/// Labels of [`CallCounters`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
     /// Name of the route.
     pub route: String,
-    /// How the call ended, one word.
+    /// Outcome of the call, one word.
     pub outcome: &'static str,
 }
 
@@ -40,35 +40,35 @@
 }
 
 impl Registry {
-    /// Registers a counter; the name must carry its unit and not `_total`, which is added.
+    /// Registers a counter. The name must include the unit but not `_total`, which is appended.
     pub fn counter(&self, name: &str, help: &str) -> Counter {
         let counter = Counter::default();
         self.lock().register(format!("chutecove_{name}"), help, counter.clone());
         counter
     }
 
-    /// Registers a gauge; the name must carry its unit.
+    /// Registers a gauge. The name must include the unit.
     pub fn gauge(&self, name: &str, help: &str) -> Gauge {
         let gauge = Gauge::default();
         self.lock().register(format!("chutecove_{name}"), help, gauge.clone());
         gauge
     }
 
-    /// Registers a histogram of times.
+    /// Registers a histogram of durations; `_seconds` is appended to the name.
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
         let histogram = Histogram::new(BUCKETS_S);
         self.lock().register(format!("chutecove_{name}_seconds"), help, histogram.clone());
         histogram
     }
 
-    /// Registers counters of calls.
+    /// Registers call counters.
     pub fn calls(&self, name: &str, help: &str) -> CallCounters {
         let counters = CallCounters::default();
         self.lock().register(format!("chutecove_{name}"), help, counters.clone());
         counters
     }
 
-    /// The text exposition.
+    /// Encodes all metrics in the text exposition format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.lock()).expect("writing to a string cannot fail");
@@ -80,7 +80,7 @@
     }
 }
 
-/// The metrics address could not be used.
+/// The metrics server could not listen on its address.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}: {reason}"))]
 pub struct MetricsServerError {
@@ -88,22 +88,23 @@
     reason: String,
 }
 
-/// What the server asks its process.
+/// HTTP server for metrics, health, readiness and status, with the callbacks that provide them.
 pub struct MetricsServer {
-    /// Metrics.
+    /// Metrics to serve.
     pub registry: Registry,
-    /// Whether the process can do its work now; otherwise the reason.
+    /// Returns the reason as an error if the process is not ready.
     pub ready: Box<dyn Fn() -> Result<(), String> + Send + Sync>,
-    /// State for people and tools, JSON.
+    /// Returns the status of the process as JSON, for operators and tools.
     pub status: Box<dyn Fn() -> String + Send + Sync>,
 }
 
 const SERVER_THREADS: usize = 2;
 
 impl MetricsServer {
-    /// Serves `/metrics`, `/healthz`, `/readyz` and `/status`; returns the address in use.
+    /// Starts serving `/metrics`, `/healthz`, `/readyz` and `/status` on a new thread; returns the
+    /// bound address.
     pub fn run(self, address: SocketAddr) -> Result<SocketAddr, MetricsServerError> {
-        let handler = move |request: &rouille::Request| self.answer(&request.url());
+        let handler = move |request: &rouille::Request| self.respond(&request.url());
         let server = rouille::Server::new(address, handler)
             .map_err(|error| MetricsServerError { address, reason: error.to_string() })?
             .pool_size(SERVER_THREADS);
@@ -112,7 +113,7 @@
         Ok(bound)
     }
 
-    fn answer(&self, path: &str) -> rouille::Response {
+    fn respond(&self, path: &str) -> rouille::Response {
         match path {
             "/metrics" => rouille::Response::text(self.registry.encode()),
             "/healthz" => rouille::Response::text("ok\n"),
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that a process has not answered, for which a planned stop waits.
+//! Tracks requests in flight, so that a planned stop can wait for them.
 
 use crate::BootInstant;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,58 +7,60 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Counts requests.
+/// Counts the requests that a process is handling.
 #[derive(Debug, Default)]
 pub struct RequestCounter {
     in_flight: AtomicU64,
-    entered: AtomicU64,
+    total: AtomicU64,
 }
 
-/// One request in flight, counted while this value lives.
+/// Counts one request as in flight until it is dropped.
 pub struct RequestGuard<'a> {
     counter: &'a RequestCounter,
 }
 
-/// How a planned stop waits for requests.
+/// How long a planned stop waits for requests.
 #[derive(Clone, Copy, Debug)]
 pub struct QuietWait {
-    /// So long none must have come, and none must be in flight.
+    /// Quiet period: how long no request may have arrived or been in flight.
     pub quiet: Duration,
-    /// Longest wait.
+    /// Maximum wait.
     pub limit: Duration,
 }
 
 impl RequestCounter {
-    /// Takes a place.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn enter(&self) -> RequestGuard<'_> {
-        self.entered.fetch_add(1, Ordering::Relaxed);
+        self.total.fetch_add(1, Ordering::Relaxed);
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         RequestGuard { counter: self }
     }
 
-    /// Takes a place, unless all are taken.
-    pub fn try_enter(&self, most: u64) -> Option<RequestGuard<'_>> {
-        let place = self.enter();
-        (self.in_flight() <= most).then_some(place)
+    /// Like [`RequestCounter::enter`], but returns `None` if more than `max_in_flight` requests
+    /// would be in flight.
+    pub fn try_enter(&self, max_in_flight: u64) -> Option<RequestGuard<'_>> {
+        let guard = self.enter();
+        (self.in_flight() <= max_in_flight).then_some(guard)
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Blocks until the requests are quiet, or nobody is left who could ask.
-    pub fn wait_until_quiet(&self, wait: QuietWait, nobody_asks: impl Fn() -> bool) {
-        let begun = BootInstant::now();
+    /// Blocks until there have been no requests for the quiet period, until `no_clients_left`
+    /// returns true, or until the maximum wait is over.
+    pub fn wait_until_quiet(&self, wait: QuietWait, no_clients_left: impl Fn() -> bool) {
+        let started = BootInstant::now();
         let mut quiet_since = BootInstant::now();
-        let mut seen = self.entered.load(Ordering::Relaxed);
-        while begun.elapsed() < wait.limit {
-            let entered = self.entered.load(Ordering::Relaxed);
-            if entered != seen || self.in_flight() > 0 {
-                seen = entered;
+        let mut last_total = self.total.load(Ordering::Relaxed);
+        while started.elapsed() < wait.limit {
+            let total = self.total.load(Ordering::Relaxed);
+            if total != last_total || self.in_flight() > 0 {
+                last_total = total;
                 quiet_since = BootInstant::now();
             }
-            if nobody_asks() || quiet_since.elapsed() >= wait.quiet {
+            if no_clients_left() || quiet_since.elapsed() >= wait.quiet {
                 return;
             }
             thread::sleep(POLL_INTERVAL);
--- a/crates/telemetry/src/signal.rs
+++ b/crates/telemetry/src/signal.rs
@@ -1,4 +1,4 @@
-//! The planned stop: SIGTERM or SIGINT.
+//! Process signals: SIGTERM and SIGINT request a planned stop, SIGHUP a reload of the settings.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use snafu::{ResultExt, Snafu};
@@ -9,21 +9,21 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The signal handler could not be installed.
+/// A signal handler could not be installed.
 #[derive(Debug, Snafu)]
-#[snafu(display("cannot handle signals: {source}"))]
+#[snafu(display("cannot install a signal handler: {source}"))]
 pub struct StopSignalError {
     source: std::io::Error,
 }
 
-/// Set once the process was asked to stop.
+/// Flag that is set when the process is asked to stop, by SIGTERM or SIGINT.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
     stopped: Arc<AtomicBool>,
 }
 
 impl StopSignal {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     pub fn install() -> Result<Self, StopSignalError> {
         let stopped = Arc::new(AtomicBool::new(false));
         for signal in [SIGTERM, SIGINT] {
@@ -32,27 +32,27 @@
         Ok(StopSignal { stopped })
     }
 
-    /// A signal that tests set themselves.
+    /// Creates a flag without signal handlers, for tests.
     pub fn manual() -> Self {
         StopSignal { stopped: Arc::new(AtomicBool::new(false)) }
     }
 
-    /// Asks to stop.
+    /// Requests the stop.
     pub fn set(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the process was asked to stop.
+    /// Whether a stop has been requested.
     pub fn is_set(&self) -> bool {
         self.stopped.load(Ordering::SeqCst)
     }
 
-    /// The flag, for loops that check it.
+    /// The shared flag, for code that polls it.
     pub fn flag(&self) -> Arc<AtomicBool> {
         self.stopped.clone()
     }
 
-    /// Blocks until the process was asked to stop.
+    /// Blocks until a stop is requested.
     pub fn wait(&self) {
         while !self.is_set() {
             thread::sleep(POLL_INTERVAL);
@@ -60,22 +60,22 @@
     }
 }
 
-/// Set each time the process was told that its settings changed (SIGHUP).
+/// Flag that is set by SIGHUP, which requests a reload of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct ReloadSignal {
-    raised: Arc<AtomicBool>,
+    requested: Arc<AtomicBool>,
 }
 
 impl ReloadSignal {
-    /// Installs the handler.
+    /// Installs the signal handler.
     pub fn install() -> Result<Self, StopSignalError> {
-        let raised = Arc::new(AtomicBool::new(false));
-        signal_hook::flag::register(SIGHUP, raised.clone()).context(StopSignalSnafu)?;
-        Ok(ReloadSignal { raised })
+        let requested = Arc::new(AtomicBool::new(false));
+        signal_hook::flag::register(SIGHUP, requested.clone()).context(StopSignalSnafu)?;
+        Ok(ReloadSignal { requested })
     }
 
-    /// Whether it was raised since the last call.
+    /// Whether a reload was requested since the previous call; clears the flag.
     pub fn take(&self) -> bool {
-        self.raised.swap(false, Ordering::SeqCst)
+        self.requested.swap(false, Ordering::SeqCst)
     }
 }
--- a/crates/telemetry/tests/bounded_logs.rs
+++ b/crates/telemetry/tests/bounded_logs.rs
@@ -1,4 +1,4 @@
-//! The volume of logs is bounded, and a reader that stops reading holds nobody up.
+//! Log volume is rate-limited, and a reader that stops reading does not block the process.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -6,9 +6,9 @@
 use tracing_appender::non_blocking::NonBlockingBuilder;
 
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("not poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -19,10 +19,10 @@
     }
 }
 
-/// Never returns from a write before the sender is gone.
-struct Stuck(std::sync::mpsc::Receiver<()>);
+/// A writer whose writes block until the sender is dropped.
+struct BlockedWriter(std::sync::mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -35,28 +35,30 @@
 
 #[test]
 fn lines_beyond_the_bound_are_dropped_and_counted() {
-    let lines = Lines::default();
-    let mut writer = RateLimitedWriter::new(lines.clone(), 10);
+    let output = SharedBuffer::default();
+    let mut writer = RateLimitedWriter::new(output.clone(), 10);
     for _ in 0..50 {
-        writer.write_all(b"line\n").expect("written");
+        writer.write_all(b"line\n").expect("write succeeds");
     }
-    let text = String::from_utf8(lines.0.lock().expect("not poisoned").clone()).expect("text");
-    assert!(text.lines().count() <= 20, "two windows at most: {text}");
+    let text =
+        String::from_utf8(output.0.lock().expect("not poisoned").clone()).expect("output is UTF-8");
+    assert!(text.lines().count() <= 20, "the lines span at most two windows: {text}");
     std::thread::sleep(std::time::Duration::from_millis(1_050));
-    writer.write_all(b"line\n").expect("written");
-    let text = String::from_utf8(lines.0.lock().expect("not poisoned").clone()).expect("text");
+    writer.write_all(b"line\n").expect("write succeeds");
+    let text =
+        String::from_utf8(output.0.lock().expect("not poisoned").clone()).expect("output is UTF-8");
     assert!(text.contains("event=log_lines_dropped count="), "{text}");
 }
 
 #[test]
 fn a_reader_that_stops_reading_holds_nobody_up() {
-    let (hold, held) = std::sync::mpsc::channel();
+    let (unblock, blocked) = std::sync::mpsc::channel();
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(16);
-    let (writer, guard) = builder.finish(Stuck(held));
+    let (writer, guard) = builder.finish(BlockedWriter(blocked));
     let mut writer = RateLimitedWriter::new(writer, u32::MAX);
     for _ in 0..10_000 {
-        writer.write_all(b"line\n").expect("taken or dropped, never waited for");
+        writer.write_all(b"line\n").expect("the line is buffered or dropped without blocking");
     }
-    drop(hold);
+    drop(unblock);
     drop(guard);
 }
