--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -156,7 +156,12 @@
     let reset = Some(StreamEnd::Reset);
     let ok = |body: &str, reusable| Some(Ok((200, body.as_bytes().to_vec(), reusable)));
     let rows: Vec<Row> = vec![
-        ("whole", b"HTTP/1.1 200 OK\r\nid: 7\r\nContent-Length: 2\r\n\r\nab", None, ok("ab", true)),
+        (
+            "complete response",
+            b"HTTP/1.1 200 OK\r\nid: 7\r\nContent-Length: 2\r\n\r\nab",
+            None,
+            ok("ab", true),
+        ),
         (
             "interim first",
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
--- a/crates/http1/tests/offers.rs
+++ b/crates/http1/tests/offers.rs
@@ -116,7 +116,7 @@
     assert_eq!(grants, [Some(4)]);
     assert!(exchange.take_interim().is_empty());
     input.extend_from_slice(b"ue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    let answer = exchange.receive(&mut input).expect("readable").expect("whole");
+    let answer = exchange.receive(&mut input).expect("valid response").expect("complete response");
     assert_eq!((answer.response.status, answer.reusable), (200, true));
     assert!(
         exchange.end_of_stream(StreamEnd::Clean).is_err(),
