--- a/crates/chutecove/tests/fleet/crashing.rs
+++ b/crates/chutecove/tests/fleet/crashing.rs
@@ -1,5 +1,5 @@
-//! An upstream that ends, with all that it works on, while it runs certain requests, and is back a
-//! moment later as a new incarnation.
+//! A test upstream that crashes while it runs certain requests, with all other requests in flight, and
+//! restarts shortly afterwards as a new incarnation.
 
 use super::Fleet;
 use std::io::{BufRead, BufReader, Write};
@@ -8,96 +8,96 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Requests with this in their path crash it.
+/// Requests whose path contains this text crash the upstream.
 pub const POISON: &str = "poison";
-const RUN_TIME: Duration = Duration::from_millis(40);
-/// From the start of a run to the crash: others begin meanwhile.
-const TIME_TO_CRASH: Duration = Duration::from_millis(25);
-const TIME_TO_RESTART: Duration = Duration::from_millis(700);
-const HEARTBEAT: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_millis(2);
+const REQUEST_DURATION: Duration = Duration::from_millis(40);
+/// Time from the start of a poison request to the crash, in which other requests start.
+const CRASH_DELAY: Duration = Duration::from_millis(25);
+const RESTART_DELAY: Duration = Duration::from_millis(700);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Shared by all incarnations at one address.
+/// State that all incarnations at one address share.
 pub struct CrashingUpstream {
     host: u8,
     address: (Ipv4Addr, u16),
-    /// Incarnations that ended.
+    /// Number of incarnations that have crashed.
     pub crashes: AtomicU64,
     crashing: AtomicBool,
-    /// Paths of runs that began.
-    pub runs: Mutex<Vec<String>>,
-    streams: Mutex<Vec<TcpStream>>,
-    over: AtomicBool,
+    /// Paths of the requests that have started.
+    pub started_paths: Mutex<Vec<String>>,
+    connections: Mutex<Vec<TcpStream>>,
+    stopped: AtomicBool,
 }
 
 impl CrashingUpstream {
-    /// Starts it, and keeps it registered with the sidecar beside it.
+    /// Starts the upstream and keeps it registered with its sidecar.
     pub fn start(fleet: &Arc<Fleet>, host: u8) -> Arc<Self> {
         let upstream = Arc::new(CrashingUpstream {
             host,
             address: (fleet.ip(host), fleet.ports.upstream),
             crashes: AtomicU64::new(0),
             crashing: AtomicBool::new(false),
-            runs: Mutex::default(),
-            streams: Mutex::default(),
-            over: AtomicBool::new(false),
+            started_paths: Mutex::default(),
+            connections: Mutex::default(),
+            stopped: AtomicBool::new(false),
         });
-        let (served, registered) = (upstream.clone(), upstream.clone());
-        std::thread::spawn(move || served.live());
+        let (server, registrant) = (upstream.clone(), upstream.clone());
+        std::thread::spawn(move || server.run_incarnations());
         let fleet = fleet.clone();
-        std::thread::spawn(move || registered.stay_registered(&fleet));
+        std::thread::spawn(move || registrant.send_heartbeats(&fleet));
         upstream
     }
 
-    /// Ends this incarnation, whatever it runs.
+    /// Crashes the current incarnation, including the requests it runs.
     pub fn crash(&self) {
         self.crashing.store(true, Ordering::SeqCst);
     }
 
-    /// Lets its threads end.
-    pub fn finish(&self) {
-        self.over.store(true, Ordering::SeqCst);
+    /// Tells the threads of the upstream to exit.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::SeqCst);
     }
 
     pub fn crashes(&self) -> u64 {
         self.crashes.load(Ordering::SeqCst)
     }
 
-    fn live(self: &Arc<Self>) {
-        while !self.over.load(Ordering::SeqCst) {
-            let listener = TcpListener::bind(self.address).expect("its address");
-            listener.set_nonblocking(true).expect("set");
+    fn run_incarnations(self: &Arc<Self>) {
+        while !self.stopped.load(Ordering::SeqCst) {
+            let listener = TcpListener::bind(self.address).expect("the address can be bound");
+            listener.set_nonblocking(true).expect("the socket mode is set");
             self.crashing.store(false, Ordering::SeqCst);
-            while !self.crashing.load(Ordering::SeqCst) && !self.over.load(Ordering::SeqCst) {
+            while !self.crashing.load(Ordering::SeqCst) && !self.stopped.load(Ordering::SeqCst) {
                 match listener.accept() {
                     Ok((stream, _)) => self.serve(stream),
-                    Err(_) => std::thread::sleep(LOOK),
+                    Err(_) => std::thread::sleep(ACCEPT_POLL_INTERVAL),
                 }
             }
             drop(listener);
-            for stream in self.streams.lock().expect("not poisoned").drain(..) {
-                // The other side may have closed it.
+            for stream in self.connections.lock().expect("not poisoned").drain(..) {
+                // The peer may have closed the connection already.
                 let _ = stream.shutdown(Shutdown::Both);
             }
             self.crashes.fetch_add(1, Ordering::SeqCst);
-            std::thread::sleep(TIME_TO_RESTART);
+            std::thread::sleep(RESTART_DELAY);
         }
     }
 
     fn serve(self: &Arc<Self>, stream: TcpStream) {
-        stream.set_nonblocking(false).expect("set");
-        let held = stream.try_clone().expect("cloned");
-        self.streams.lock().expect("not poisoned").push(held);
+        stream.set_nonblocking(false).expect("the socket mode is set");
+        let connection = stream.try_clone().expect("cloned");
+        self.connections.lock().expect("not poisoned").push(connection);
         let upstream = self.clone();
-        std::thread::spawn(move || upstream.answer_all(stream));
+        std::thread::spawn(move || upstream.answer_requests(stream));
     }
 
-    /// Answers one request after the other, without bodies.
-    fn answer_all(&self, stream: TcpStream) -> Option<()> {
+    /// Answers the requests of a connection one after the other; they have no bodies.
+    fn answer_requests(&self, stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?).lines();
         let mut stream = stream;
         loop {
-            let first = lines.next()?.ok()?;
+            let request_line = lines.next()?.ok()?;
             let mut attempt_id = String::new();
             loop {
                 let line = lines.next()?.ok()?;
@@ -109,15 +109,15 @@
                     attempt_id = value.trim().to_owned();
                 }
             }
-            let path = first.split(' ').nth(1)?.to_owned();
-            let is_poison = path.contains(POISON);
-            self.runs.lock().expect("not poisoned").push(path);
-            if is_poison {
-                std::thread::sleep(TIME_TO_CRASH);
+            let path = request_line.split(' ').nth(1)?.to_owned();
+            let crashes_upstream = path.contains(POISON);
+            self.started_paths.lock().expect("not poisoned").push(path);
+            if crashes_upstream {
+                std::thread::sleep(CRASH_DELAY);
                 self.crash();
                 return None;
             }
-            std::thread::sleep(RUN_TIME);
+            std::thread::sleep(REQUEST_DURATION);
             let host = self.host;
             let answer = format!(
                 "HTTP/1.1 200 OK\r\nX-Chutecove-Seal: seal-{host}\r\n\
@@ -127,15 +127,15 @@
         }
     }
 
-    fn stay_registered(&self, fleet: &Fleet) {
+    fn send_heartbeats(&self, fleet: &Fleet) {
         let mut sequence = 0;
-        while !self.over.load(Ordering::SeqCst) {
+        while !self.stopped.load(Ordering::SeqCst) {
             if !self.crashing.load(Ordering::SeqCst) {
                 sequence += 1;
                 let id = format!("i-{}-{}", self.host, self.crashes());
                 fleet.register(self.host, &id, sequence, false);
             }
-            std::thread::sleep(HEARTBEAT);
+            std::thread::sleep(HEARTBEAT_INTERVAL);
         }
     }
 }
--- a/crates/chutecove/tests/fleet/hollow.rs
+++ b/crates/chutecove/tests/fleet/hollow.rs
@@ -1,4 +1,4 @@
-//! A sidecar that links, says what it is told to, and does no more.
+//! A fake sidecar that connects to a coordinator and sends only the messages that a test gives it.
 
 use super::Fleet;
 use mesh::{
@@ -9,20 +9,20 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// One link of such a sidecar.
-pub struct Hollow {
+/// The connection of a fake sidecar to a coordinator.
+pub struct FakeSidecar {
     pub stream: TcpStream,
     input: Vec<u8>,
 }
 
-impl Hollow {
-    /// Links as a sidecar of no upstream.
-    pub fn link(fleet: &Fleet, coordinator: u8, number: u16) -> Self {
-        Self::link_of(fleet, coordinator, number, "hollow", None)
+impl FakeSidecar {
+    /// Connects as a sidecar without an upstream.
+    pub fn connect(fleet: &Fleet, coordinator: u8, number: u16) -> Self {
+        Self::connect_as(fleet, coordinator, number, "hollow", None)
     }
 
-    /// Links as the sidecar beside an upstream of a service.
-    pub fn link_of(
+    /// Connects as the sidecar of an upstream of a service.
+    pub fn connect_as(
         fleet: &Fleet,
         coordinator: u8,
         number: u16,
@@ -30,8 +30,8 @@
         instance: Option<InstanceRecord>,
     ) -> Self {
         let address = SocketAddr::from((fleet.ip(coordinator), fleet.ports.mesh));
-        let mut stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket option");
+        let mut stream = TcpStream::connect(address).expect("the coordinator listens");
+        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("the read timeout is set");
         let mut bytes = Vec::new();
         let greeting = Greeting {
             protocol: PROTOCOL_VERSION,
@@ -50,37 +50,38 @@
             instance,
         };
         encode_frame(&ToCoordinator::Report(record), &mut bytes);
-        stream.write_all(&bytes).expect("it is read");
-        Hollow { stream, input: Vec::new() }
+        stream.write_all(&bytes).expect("the message is sent");
+        FakeSidecar { stream, input: Vec::new() }
     }
 
-    /// Says something.
-    pub fn say(&mut self, message: &ToCoordinator) {
+    /// Sends a message to the coordinator.
+    pub fn send(&mut self, message: &ToCoordinator) {
         let mut bytes = Vec::new();
         encode_frame(message, &mut bytes);
-        self.stream.write_all(&bytes).expect("it is read");
+        self.stream.write_all(&bytes).expect("the message is sent");
     }
 
-    /// The next that the coordinator says.
-    pub fn next(&mut self) -> ToSidecar {
+    /// Receives the next message of the coordinator.
+    pub fn receive(&mut self) -> ToSidecar {
         loop {
-            if let Some((frame, length)) = decode_frame(&self.input).expect("a frame") {
+            if let Some((frame, length)) = decode_frame(&self.input).expect("a valid frame") {
                 self.input.drain(..length);
                 return frame;
             }
-            let mut piece = [0; 4_096];
-            let count = self.stream.read(&mut piece).expect("an answer in time");
-            assert!(count > 0, "the link was ended");
-            self.input.extend_from_slice(&piece[..count]);
+            let mut chunk = [0; 4_096];
+            let count = self.stream.read(&mut chunk).expect("a response within the timeout");
+            assert!(count > 0, "the coordinator closed the connection");
+            self.input.extend_from_slice(&chunk[..count]);
         }
     }
 
-    /// The coordinator answers a ping on this link.
-    pub fn is_served(&mut self, asked_at: u64) {
-        self.say(&ToCoordinator::Ping { asked_at });
+    /// Sends a ping and waits until the coordinator answers it.
+    pub fn assert_ping_answered(&mut self, asked_at: u64) {
+        self.send(&ToCoordinator::Ping { asked_at });
         loop {
-            // Others were asked for by the thread that keeps the link alive.
-            if matches!(self.next(), ToSidecar::Pong { asked_at: found, .. } if found == asked_at) {
+            // Other pongs answer the pings of the thread that keeps the connection alive.
+            if matches!(self.receive(), ToSidecar::Pong { asked_at: found, .. } if found == asked_at)
+            {
                 return;
             }
         }
--- a/crates/chutecove/tests/fleet/mod.rs
+++ b/crates/chutecove/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A small fleet of real processes: three coordinators, sidecars with stand-in upstreams, an
-//! operator. Each machine is a loopback address of its own, since ports are alike on all machines.
+//! Test harness that runs a small fleet of real processes: three coordinators, sidecars with test
+//! upstreams, and an operator. Each host has its own loopback address, since all hosts use the same ports.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a part of the harness")]
 
 pub mod crashing;
 pub mod hollow;
@@ -18,45 +18,47 @@
 use std::time::{Duration, Instant};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_chutecove");
-/// Longest wait for anything; only a broken fleet comes near it.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Upper limit of every wait; only a broken fleet comes near it.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 pub const SERVICE: &str = "fares";
 
-/// Last lines of a process that are shown if its test fails.
-const LINES_SHOWN: usize = 400;
+/// Number of log lines of each process that are printed if the test fails.
+const LOG_LINES_SHOWN: usize = 400;
 
-pub struct Running {
+/// A process that is killed when the value is dropped.
+pub struct RunningProcess {
     child: Child,
     name: String,
     lines: Arc<Mutex<VecDeque<String>>>,
 }
 
-impl Running {
-    /// Id of the process.
+impl RunningProcess {
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal, named as `kill` wants it.
+    /// Sends a signal, given as an option of `kill` such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.id().to_string()]).status();
         assert!(sent.is_ok_and(|status| status.success()), "{name}");
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            // A failure that comes once must leave what tells its cause.
+            // A failure that is hard to reproduce must leave the logs that show its cause.
             let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
             lines.iter().for_each(|line| eprintln!("{} {line}", self.name));
         }
     }
 }
 
-/// Keeps the last lines of a process, which waits for nobody to read them.
+/// Reads the output of a process in a thread and keeps its last lines, so that the process never blocks
+/// on a full pipe.
 fn keep_lines(output: ChildStdout) -> Arc<Mutex<VecDeque<String>>> {
     let lines = Arc::new(Mutex::new(VecDeque::new()));
     let kept = lines.clone();
@@ -64,7 +66,7 @@
         for line in BufReader::new(output).lines().map_while(Result::ok) {
             let mut kept = kept.lock().unwrap_or_else(PoisonError::into_inner);
             kept.push_back(line);
-            if kept.len() > LINES_SHOWN {
+            if kept.len() > LOG_LINES_SHOWN {
                 kept.pop_front();
             }
         }
@@ -72,7 +74,7 @@
     lines
 }
 
-/// Ports that are free on every machine of a fleet.
+/// Ports that every host of a fleet uses.
 pub struct Ports {
     pub mesh: u16,
     pub api: u16,
@@ -84,16 +86,17 @@
     pub upstream: u16,
 }
 
+/// A fleet of processes and the addresses they use.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub network: u8,
     pub ports: Ports,
-    /// Held while the addresses are in use: other runs on them wait.
-    _addresses: fs::File,
+    /// Locks the addresses while they are in use; other runs of the tests wait for it.
+    _address_lock: fs::File,
 }
 
-/// Waits until no other run uses a network's addresses. Ports that are free on one machine of a fleet may
-/// be in use on another, by a run that found other ones.
+/// Waits until no other run of the tests uses the addresses of a network. Without the lock, a port that is
+/// free on one host of a fleet could be in use on another host by a run that chose other ports.
 fn lock_addresses(network: u8) -> fs::File {
     let path = std::env::temp_dir().join(format!("chutecove-test-network-{network}"));
     let file = fs::File::create(path).expect("created");
@@ -114,7 +117,7 @@
 
 impl Fleet {
     pub fn new(network: u8) -> Self {
-        let addresses = lock_addresses(network);
+        let address_lock = lock_addresses(network);
         let address = Ipv4Addr::new(127, 77, network, 1);
         let mut taken = Vec::new();
         let mut port = || free_port(&mut taken, address);
@@ -129,7 +132,7 @@
             upstream: port(),
         };
         let folder = tempfile::tempdir().expect("a folder");
-        Fleet { folder, network, ports, _addresses: addresses }
+        Fleet { folder, network, ports, _address_lock: address_lock }
     }
 
     pub fn ip(&self, host: u8) -> Ipv4Addr {
@@ -145,7 +148,7 @@
         self.folder.path().join(format!("data-{host}"))
     }
 
-    pub fn start(&self, role: &str, host: u8, settings: &str) -> Running {
+    pub fn start(&self, role: &str, host: u8, settings: &str) -> RunningProcess {
         let path = self.folder.path().join(format!("{role}-{host}.toml"));
         fs::write(&path, settings).expect("written");
         let mut child = Command::new(PROGRAM)
@@ -155,10 +158,10 @@
             .spawn()
             .expect("started");
         let output = child.stdout.take().expect("piped");
-        Running { child, name: format!("{role}-{host}"), lines: keep_lines(output) }
+        RunningProcess { child, name: format!("{role}-{host}"), lines: keep_lines(output) }
     }
 
-    pub fn start_coordinator(&self, host: u8, bootstrap: bool) -> Running {
+    pub fn start_coordinator(&self, host: u8, bootstrap: bool) -> RunningProcess {
         let (ip, ports) = (self.ip(host), &self.ports);
         let settings = format!(
             "fleet = \"small\"\nname = \"coordinator-{host}\"\nip = \"{ip}\"\nmesh_port = {}\n\
@@ -174,7 +177,7 @@
         self.start("coordinator", host, &settings)
     }
 
-    pub fn start_sidecar(&self, host: u8, service: &str) -> Running {
+    pub fn start_sidecar(&self, host: u8, service: &str) -> RunningProcess {
         let (ip, ports) = (self.ip(host), &self.ports);
         let settings = format!(
             "fleet = \"small\"\nname = \"sidecar-{host}\"\nzone = \"a\"\nip = \"{ip}\"\n\
@@ -195,13 +198,13 @@
         self.start("sidecar", host, &settings)
     }
 
-    /// An upstream that counts its runs and answers with its seal.
+    /// Starts an upstream that counts its requests and answers with its seal.
     pub fn start_upstream(&self, host: u8) -> Arc<Upstream> {
         let upstream = Arc::new(Upstream::default());
         let counted = upstream.clone();
         let address = (self.ip(host), self.ports.upstream);
         let server = rouille::Server::new(address, move |request| {
-            counted.runs.fetch_add(1, Ordering::SeqCst);
+            counted.request_count.fetch_add(1, Ordering::SeqCst);
             let header = |name| request.header(name).unwrap_or_default().to_owned();
             let caller = header("X-Chutecove-Caller");
             counted.callers.lock().expect("not poisoned").push(caller);
@@ -213,11 +216,11 @@
             counted.tenants.lock().expect("not poisoned").push(tenant);
             let mut body = Vec::new();
             if let Some(mut data) = request.data() {
-                data.read_to_end(&mut body).expect("a whole body");
+                data.read_to_end(&mut body).expect("a complete body");
             }
             let text = match body.is_empty() {
                 true => format!("{} from {host}", request.url()),
-                false => format!("{} bytes, {}", body.len(), check_sum(&body)),
+                false => format!("{} bytes, {}", body.len(), checksum(&body)),
             };
             let fails = counted.fails.load(Ordering::SeqCst);
             rouille::Response::text(text)
@@ -254,8 +257,14 @@
         agent().post(&url).send(body.to_string()).is_ok_and(|answer| answer.status() == 200)
     }
 
-    /// Sends an order to a coordinator, which may send it on; the status that came back.
-    pub fn order(&self, host: u8, expected: u64, version: u64, marker: &str) -> Option<u16> {
+    /// Sends a configuration to a coordinator and follows redirects to the leader; returns the status.
+    pub fn put_configuration(
+        &self,
+        host: u8,
+        expected: u64,
+        version: u64,
+        marker: &str,
+    ) -> Option<u16> {
         let mut url = format!("http://{}:{}/v1/configuration", self.ip(host), self.ports.api);
         let body = configuration(version, marker).to_string();
         for _ in 0..3 {
@@ -269,45 +278,57 @@
         None
     }
 
-    /// Sends an order to one coordinator only; the status that came back, 307 if it does not lead.
-    pub fn order_at(&self, host: u8, expected: u64, version: u64, marker: &str) -> Option<u16> {
+    /// Sends a configuration to one coordinator only; returns the status, which is 307 if it does not lead.
+    pub fn put_configuration_at(
+        &self,
+        host: u8,
+        expected: u64,
+        version: u64,
+        marker: &str,
+    ) -> Option<u16> {
         let url = format!("http://{}:{}/v1/configuration", self.ip(host), self.ports.api);
         let body = configuration(version, marker).to_string();
         let answer = agent().put(&url).header("If-Match", expected.to_string()).send(&body).ok()?;
         Some(answer.status().as_u16())
     }
 
-    /// The clear answer to an order: one that is not clear, as while a leader is elected, is sent
-    /// again as it is.
-    pub fn settled_order(&self, host: u8, expected: u64, version: u64, marker: &str) -> u16 {
-        let end = Instant::now() + PATIENCE;
+    /// Sends a configuration until the response is definite; returns its status. While a leader is elected,
+    /// for example, the response is not definite and the same request is sent again.
+    pub fn put_configuration_until_decided(
+        &self,
+        host: u8,
+        expected: u64,
+        version: u64,
+        marker: &str,
+    ) -> u16 {
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
-            match self.order(host, expected, version, marker) {
+            match self.put_configuration(host, expected, version, marker) {
                 Some(status) if status != 503 => return status,
-                _ => assert!(Instant::now() < end, "no clear answer to version {version}"),
+                _ => assert!(Instant::now() < end, "no definite response to version {version}"),
             }
             std::thread::sleep(Duration::from_millis(25));
         }
     }
 
-    /// Orders a canary of the service, at whichever coordinator takes it.
-    pub fn order_canary(&self, version: &str, duration_ms: u64) -> u16 {
+    /// Starts a canary of the service at whichever coordinator accepts it; returns the status.
+    pub fn start_canary(&self, version: &str, duration_ms: u64) -> u16 {
         let body = json!({ "service": SERVICE, "version": version, "duration_ms": duration_ms });
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             for host in 1..=3 {
                 let url = format!("http://{}:{}/v1/canaries", self.ip(host), self.ports.api);
                 let answer = agent().post(&url).send(body.to_string());
                 match answer.map(|answer| answer.status().as_u16()) {
                     Ok(status) if ![307, 503].contains(&status) => return status,
-                    _ => assert!(Instant::now() < end, "no clear answer to a canary"),
+                    _ => assert!(Instant::now() < end, "no definite response to a canary"),
                 }
             }
             std::thread::sleep(Duration::from_millis(25));
         }
     }
 
-    /// The phase of the newest canary, from whichever coordinator is sure.
+    /// Returns the phase of the newest canary, from whichever coordinator can confirm it.
     pub fn canary_phase(&self) -> Option<String> {
         (1..=3).find_map(|host| {
             let url = format!("http://{}:{}/v1/canaries/{SERVICE}", self.ip(host), self.ports.api);
@@ -318,8 +339,8 @@
         })
     }
 
-    /// The version and marker in force, from whichever coordinator is sure.
-    pub fn read(&self) -> Option<(u64, String)> {
+    /// Returns the version and marker in force, from whichever coordinator can confirm them.
+    pub fn read_configuration(&self) -> Option<(u64, String)> {
         (1..=3).find_map(|host| {
             let url = format!("http://{}:{}/v1/configuration", self.ip(host), self.ports.api);
             let mut answer = agent().get(&url).call().ok().filter(|found| found.status() == 200)?;
@@ -330,7 +351,7 @@
         })
     }
 
-    /// Calls through a sidecar: status and body.
+    /// Sends a call through a sidecar; returns the status and body.
     pub fn call(&self, host: u8, path: &str) -> Option<(u16, String)> {
         static NEXT: AtomicU64 = AtomicU64::new(1);
         let id = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -344,7 +365,7 @@
         Some((answer.status().as_u16(), body))
     }
 
-    /// Uploads a body through a sidecar: status and answer.
+    /// Uploads a body through a sidecar; returns the status and the response body.
     pub fn upload(&self, host: u8, path: &str, body: &[u8]) -> Option<(u16, String)> {
         let url = format!("http://{}:{}{path}", self.ip(host), self.ports.outbound);
         let request = agent()
@@ -356,14 +377,14 @@
         Some((answer.status().as_u16(), text))
     }
 
-    /// The status of a call once a sidecar is sure of its configuration: until then it refuses calls
-    /// whose route it does not know with 503.
-    pub fn sure_status(&self, host: u8, path: &str) -> u16 {
-        let end = Instant::now() + PATIENCE;
+    /// Returns the status of a call once a sidecar has confirmed its configuration; until then it refuses
+    /// calls whose route it does not know with 503.
+    pub fn status_when_configured(&self, host: u8, path: &str) -> u16 {
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.call(host, path) {
                 Some((status, _)) if status != 503 => return status,
-                _ => assert!(Instant::now() < end, "no clear answer to {path}"),
+                _ => assert!(Instant::now() < end, "no definite response to {path}"),
             }
             std::thread::sleep(Duration::from_millis(25));
         }
@@ -379,8 +400,8 @@
     let mut random = fastrand::Rng::with_seed(u64::from(port));
     for length in [1, 4, 100, 20_000] {
         let bytes: Vec<u8> = (0..length).map(|_| random.u8(..)).collect();
-        let mut stream = TcpStream::connect((address, port)).expect("it listens");
-        // It may close before all was written.
+        let mut stream = TcpStream::connect((address, port)).expect("the process listens");
+        // The process may close the connection before all bytes are written.
         let _ = stream.write_all(&bytes);
         let _ = stream.shutdown(Shutdown::Write);
         let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
@@ -388,18 +409,19 @@
     }
 }
 
-/// A sum that notices pieces in another order.
-pub fn check_sum(bytes: &[u8]) -> u64 {
+/// Returns a checksum that depends on the order of the bytes.
+pub fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| (sum * 31 + u64::from(*byte)) % 1_000_000_007)
 }
 
+/// What a test upstream has received, and how it responds.
 #[derive(Default)]
 pub struct Upstream {
-    pub runs: AtomicU64,
+    pub request_count: AtomicU64,
     pub callers: Mutex<Vec<String>>,
-    /// Tenant of each call, and whether its key came with it.
+    /// Tenant of each call, and whether the call carried an API key.
     pub tenants: Mutex<Vec<String>>,
-    /// Whether it fails all that it is asked.
+    /// Whether it answers every request with status 500.
     pub fails: AtomicBool,
 }
 
@@ -426,10 +448,11 @@
     ] })
 }
 
-pub fn wait(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < end, "not in time: {what}");
+/// Waits until a condition holds; `what` describes it.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(25));
     }
 }
--- a/crates/chutecove/tests/many_links.rs
+++ b/crates/chutecove/tests/many_links.rs
@@ -1,9 +1,10 @@
-//! Many links to one coordinator: what they cost, and that nobody who speaks is left for them.
+//! Many connections to one coordinator: they need no threads of their own, and idle connections do not
+//! displace active ones.
 
 mod fleet;
 
-use fleet::hollow::Hollow;
-use fleet::{wait, Fleet, Running};
+use fleet::hollow::FakeSidecar;
+use fleet::{wait_until, Fleet, RunningProcess};
 use mesh::{encode_frame, ToCoordinator};
 use std::fs;
 use std::io::Write;
@@ -13,94 +14,103 @@
 use std::thread;
 use std::time::Duration;
 
-/// Links of hollow sidecars to one coordinator.
-const LINKS: u16 = 400;
-/// Connections that never greet: more than are borne at once.
-const HALF_OPEN: usize = 1_200;
-/// Threads of a coordinator, whatever the number of links: its loops, and one or two for each of the
-/// others.
-const MOST_THREADS: usize = 64;
+/// Connections of fake sidecars to one coordinator.
+const CONNECTIONS: u16 = 400;
+/// Connections that never send a greeting; more than the coordinator keeps open at once.
+const SILENT_CONNECTIONS: usize = 1_200;
+/// Maximum number of threads of a coordinator, independent of the number of connections: its event loops,
+/// and one or two for each other coordinator.
+const MAX_THREADS: usize = 64;
 
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps links alive: a sidecar that says nothing for some seconds is taken for gone.
-struct Pinging(Arc<AtomicBool>);
+/// Keeps connections alive with pings; the coordinator drops a sidecar that is silent for some seconds.
+struct PingThread(Arc<AtomicBool>);
 
-impl Pinging {
-    fn start(links: &[Hollow]) -> Self {
-        let clone = |link: &Hollow| link.stream.try_clone().expect("a descriptor");
+impl PingThread {
+    fn start(links: &[FakeSidecar]) -> Self {
+        let clone = |link: &FakeSidecar| link.stream.try_clone().expect("the socket can be cloned");
         let mut streams: Vec<TcpStream> = links.iter().map(clone).collect();
-        let over = Arc::new(AtomicBool::new(false));
-        let ended = over.clone();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let stop_requested = stopped.clone();
         thread::spawn(move || {
             let mut ping = Vec::new();
             encode_frame(&ToCoordinator::Ping { asked_at: 0 }, &mut ping);
-            while !ended.load(Ordering::SeqCst) {
+            while !stop_requested.load(Ordering::SeqCst) {
                 for stream in &mut streams {
-                    // A link that was ended shows where its answers are read.
+                    // A closed connection is detected where its pongs are read.
                     let _ = stream.write_all(&ping);
                 }
                 thread::sleep(PING_INTERVAL);
             }
         });
-        Pinging(over)
+        PingThread(stopped)
     }
 }
 
-impl Drop for Pinging {
+impl Drop for PingThread {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-fn threads(process: &Running) -> usize {
+fn thread_count(process: &RunningProcess) -> usize {
     let path = format!("/proc/{}/status", process.id());
-    let status = fs::read_to_string(path).expect("a process that runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("a line");
+    let status = fs::read_to_string(path).expect("the process runs");
+    let line =
+        status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("the line Threads");
     line.trim().parse().expect("a number")
 }
 
 #[test]
 fn links_of_sidecars_cost_no_threads_and_keep_nobody_out() {
     let fleet = Fleet::new(7);
-    let mut coordinators: Vec<Option<Running>> =
+    let mut coordinators: Vec<Option<RunningProcess>> =
         (1..=3).map(|host| Some(fleet.start_coordinator(host, true))).collect();
-    wait("the first order is taken", || fleet.order(2, 0, 5, "one") == Some(200));
-    let mut links: Vec<Hollow> = (0..LINKS).map(|number| Hollow::link(&fleet, 1, number)).collect();
-    let _pinging = Pinging::start(&links);
-    links.iter_mut().for_each(|link| link.is_served(1));
-    let used = coordinators[0].as_ref().map(threads);
-    assert!(used.is_some_and(|used| used <= MOST_THREADS), "{used:?} threads");
+    wait_until("the first configuration is accepted", || {
+        fleet.put_configuration(2, 0, 5, "one") == Some(200)
+    });
+    let mut links: Vec<FakeSidecar> =
+        (0..CONNECTIONS).map(|number| FakeSidecar::connect(&fleet, 1, number)).collect();
+    let _ping_thread = PingThread::start(&links);
+    links.iter_mut().for_each(|link| link.assert_ping_answered(1));
+    let count = coordinators[0].as_ref().map(thread_count);
+    assert!(count.is_some_and(|count| count <= MAX_THREADS), "{count:?} threads");
 
-    // Connections that say nothing: the oldest of them give way, nobody who speaks does.
+    // The oldest silent connections are closed in favor of new ones; active connections are not.
     let address = SocketAddr::from((fleet.ip(1), fleet.ports.mesh));
-    let silent: Vec<TcpStream> =
-        (0..HALF_OPEN).map(|_| TcpStream::connect(address).expect("it listens")).collect();
-    links.iter_mut().for_each(|link| link.is_served(2));
-    // One that greets meanwhile.
-    Hollow::link(&fleet, 1, LINKS).is_served(3);
+    let silent: Vec<TcpStream> = (0..SILENT_CONNECTIONS)
+        .map(|_| TcpStream::connect(address).expect("the coordinator listens"))
+        .collect();
+    links.iter_mut().for_each(|link| link.assert_ping_answered(2));
+    // A sidecar that connects meanwhile is served.
+    FakeSidecar::connect(&fleet, 1, CONNECTIONS).assert_ping_answered(3);
 
-    // Another coordinator starts again and finds its way in among them.
+    // A restarted coordinator can connect among them.
     drop(coordinators[1].take());
     coordinators[1] = Some(fleet.start_coordinator(2, false));
-    wait("an order is taken", || fleet.order(2, 5, 6, "two") == Some(200));
-    wait("it is read", || fleet.read() == Some((6, "two".to_owned())));
+    wait_until("a configuration is accepted", || {
+        fleet.put_configuration(2, 5, 6, "two") == Some(200)
+    });
+    wait_until("the configuration is read", || {
+        fleet.read_configuration() == Some((6, "two".to_owned()))
+    });
     drop(silent);
-    links.iter_mut().for_each(|link| link.is_served(4));
+    links.iter_mut().for_each(|link| link.assert_ping_answered(4));
 }
 
-/// Connections that are opened while the process stands still: more than are accepted at once.
-const WAITING: u16 = 100;
+/// Connections opened while the process is suspended; more than it accepts in one round.
+const QUEUED_CONNECTIONS: u16 = 100;
 
 #[test]
 fn all_that_connected_while_a_coordinator_stood_still_are_served() {
     let fleet = Fleet::new(8);
     let coordinator = fleet.start_coordinator(1, true);
-    let is_up = || TcpStream::connect((fleet.ip(1), fleet.ports.mesh)).is_ok();
-    wait("it listens", is_up);
+    let is_listening = || TcpStream::connect((fleet.ip(1), fleet.ports.mesh)).is_ok();
+    wait_until("the coordinator listens", is_listening);
     coordinator.signal("-STOP");
-    let mut links: Vec<Hollow> =
-        (0..WAITING).map(|number| Hollow::link(&fleet, 1, number)).collect();
+    let mut links: Vec<FakeSidecar> =
+        (0..QUEUED_CONNECTIONS).map(|number| FakeSidecar::connect(&fleet, 1, number)).collect();
     coordinator.signal("-CONT");
-    links.iter_mut().for_each(|link| link.is_served(1));
+    links.iter_mut().for_each(|link| link.assert_ping_answered(1));
 }
--- a/crates/chutecove/tests/planned_stop.rs
+++ b/crates/chutecove/tests/planned_stop.rs
@@ -1,23 +1,24 @@
-//! What happens: a call that reaches a sidecar in the last moments of a planned stop is cut without an answer.
-//! Seen in a soak (seed 42002, beside a load of 80 on 8 cores: call 413, sent 1.06 s before its sidecar ended,
-//! which had heard nothing of it).
+//! A call that reaches a sidecar at the end of a planned stop must be answered before the process exits.
 //!
-//! Why, as far as is known: whether the process may end is decided after each look at the sockets by the
-//! calls that were read. A connection that was taken in that look is read in the next one, and there is
-//! none: with nothing in flight the process ends as soon as it has told its peers (`sidecar_closing` and
-//! `sidecar_stopped` 41 us apart). Where the processor was short for a moment, more than one call waits.
+//! The failure was seen in a soak test (seed 42002, next to a load of 80 on 8 cores): call 413 was sent 1.06 s
+//! before its sidecar exited, which never read it. The likely cause: after each poll of the sockets, the calls
+//! read so far decide whether the process may exit. A connection accepted in that poll is only read in the
+//! next one, but with nothing in flight the process exits as soon as it has informed its peers
+//! (`sidecar_closing` and `sidecar_stopped` were 41 us apart). When the CPU is briefly overloaded, more than
+//! one call can be lost.
 
 mod fleet;
 
-use fleet::{wait, Fleet, SERVICE};
+use fleet::{wait_until, Fleet, SERVICE};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From the signal on new calls are served for less than this; the process may live on for twice as long.
-const SERVED: Duration = Duration::from_millis(2_600);
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A stopping sidecar serves new calls for less than this after the signal; the process may live twice as
+/// long.
+const SERVING_TIME: Duration = Duration::from_millis(2_600);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn a_call_that_came_while_a_stopping_sidecar_stood_still_is_answered() {
@@ -26,21 +27,25 @@
     let callers = fleet.start_sidecar(11, "callers");
     let _sidecar = fleet.start_sidecar(12, SERVICE);
     let _upstream = fleet.start_upstream(12);
-    wait("the first order is taken", || fleet.order(2, 0, 5, "one") == Some(200));
-    wait("the upstream registers", || fleet.register(12, "i-1", 1, false));
-    wait("a call is served", || fleet.call(11, "/one/x").is_some_and(|(status, _)| status == 200));
+    wait_until("the first configuration is accepted", || {
+        fleet.put_configuration(2, 0, 5, "one") == Some(200)
+    });
+    wait_until("the upstream registers", || fleet.register(12, "i-1", 1, false));
+    wait_until("a call is served", || {
+        fleet.call(11, "/one/x").is_some_and(|(status, _)| status == 200)
+    });
 
     callers.signal("-TERM");
-    let begun = Instant::now();
-    wait("it says that it stops", || !fleet.is_ready(11));
+    let signaled_at = Instant::now();
+    wait_until("the sidecar reports that it stops", || !fleet.is_ready(11));
     callers.signal("-STOP");
-    let mut stream =
-        TcpStream::connect((fleet.ip(11), fleet.ports.outbound)).expect("it listens still");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+    let mut stream = TcpStream::connect((fleet.ip(11), fleet.ports.outbound))
+        .expect("the sidecar still listens");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("the read timeout is set");
     let request =
         "GET /one/x HTTP/1.1\r\nHost: fares.example\r\nX-Chutecove-Attempt-Id: a-1\r\n\r\n";
-    stream.write_all(request.as_bytes()).expect("it is taken by the system");
-    thread::sleep(SERVED.saturating_sub(begun.elapsed()));
+    stream.write_all(request.as_bytes()).expect("the kernel accepts the bytes");
+    thread::sleep(SERVING_TIME.saturating_sub(signaled_at.elapsed()));
     callers.signal("-CONT");
 
     let mut answer = [0; 12];
--- a/crates/chutecove/tests/processes.rs
+++ b/crates/chutecove/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The product's processes and command line, with mistakes and bad input from outside.
+//! Tests of the processes and the command line of `chutecove`, including operator mistakes and invalid input.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -11,30 +11,31 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_chutecove");
 const FIRST_PORT: u32 = 10_000;
-const MOST_PORTS: u32 = 10_000;
-/// First of the loopback's second octets for this file; 64 follow, one for each 65,536 process ids.
-const FIRST_OCTET: u32 = 128;
-/// A step of a stop.
-const MOMENT: Duration = Duration::from_millis(300);
-/// Bytes of a body that is not read together with its head.
+const PORT_COUNT: u32 = 10_000;
+/// Lowest of the 64 second octets of loopback addresses that these tests use; each one covers 65,536
+/// process ids.
+const BASE_SECOND_OCTET: u32 = 128;
+/// Delay between the steps of a stop.
+const STEP_DELAY: Duration = Duration::from_millis(300);
+/// Length of a request body that is too long to be read together with its head.
 const LONG_BODY: usize = 8_192;
-const LIMIT: Duration = Duration::from_secs(60);
-/// Size of the small disk, in blocks of at least 512 bytes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Limit of the file size that simulates a small disk, in blocks of at least 512 bytes.
 const DISK_BLOCKS: u32 = 200;
-const MOST_VERSIONS: u32 = 60;
+const MAX_VERSIONS: u32 = 60;
 const SECRET: &str = "hidden-7f3a9c-value";
 
-/// A process that is ended with the test.
-struct Running(Child);
+/// A process that is killed when the value is dropped.
+struct RunningProcess(Child);
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A fleet of one replica, one relay and one proxy, in one folder.
+/// A fleet of one control replica, one relay and one proxy, with its files in one folder.
 struct Fleet {
     folder: tempfile::TempDir,
     control: SocketAddr,
@@ -44,21 +45,21 @@
     metrics: [SocketAddr; 3],
 }
 
-/// An address of the loopback that no other run of these tests has: of its process id.
-fn own_ip() -> Ipv4Addr {
+/// Returns a loopback address that is unique to this run of the tests; it is derived from the process id.
+fn unique_ip() -> Ipv4Addr {
     let [high, middle, low] = [16, 8, 0].map(|shift| std::process::id() >> shift);
-    Ipv4Addr::new(127, (FIRST_OCTET + high % 64) as u8, middle as u8, low as u8)
+    Ipv4Addr::new(127, (BASE_SECOND_OCTET + high % 64) as u8, middle as u8, low as u8)
 }
 
-/// A free address below the range that the system uses for outgoing connections, handed out once:
-/// the tests run side by side, and a port the system chose may be taken before its process starts.
-/// Runs side by side took each other's ports in that time as long as they shared an address, and then
-/// spoke to each other's processes ("the signature is not operator 'alice's").
+/// Returns a free address with a port below the range of ephemeral ports, each one only once: the tests run
+/// in parallel, and a port assigned by the system could be taken before the process starts. When parallel
+/// runs shared an IP address, they took each other's ports in that time and connected to each other's
+/// processes ("the signature is not operator 'alice's").
 fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % MOST_PORTS;
-        let address = SocketAddr::from((own_ip(), port as u16));
+        let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
+        let address = SocketAddr::from((unique_ip(), port as u16));
         if TcpListener::bind(address).is_ok() {
             return address;
         }
@@ -71,31 +72,31 @@
 
 fn succeed(folder: &Path, arguments: &[&str]) -> String {
     let output = run(folder, arguments);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.success(), "{arguments:?}: {told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success(), "{arguments:?}: {stderr}");
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn tls(name: &str) -> String {
+fn tls_settings(name: &str) -> String {
     format!(
         "[tls]\nauthority = \"keys/authority.pem\"\ncertificate = \"keys/{name}.pem\"\n\
          key = \"keys/{name}.key\"\n"
     )
 }
 
-/// Last lines of a process that are shown if its test fails.
-const LINES_SHOWN: usize = 60;
+/// Number of log lines of each process that are printed if the test fails.
+const LOG_LINES_SHOWN: usize = 60;
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         if !thread::panicking() {
             return;
         }
-        // A failure that comes once must leave what tells its cause.
+        // A failure that is hard to reproduce must leave the logs that show its cause.
         for role in ["control", "relay", "proxy"] {
-            let text = fs::read_to_string(self.log(role)).unwrap_or_default();
+            let text = fs::read_to_string(self.log_path(role)).unwrap_or_default();
             let lines: Vec<&str> = text.lines().collect();
-            let first = lines.len().saturating_sub(LINES_SHOWN);
+            let first = lines.len().saturating_sub(LOG_LINES_SHOWN);
             lines[first..].iter().for_each(|line| eprintln!("{role} {line}"));
         }
     }
@@ -161,7 +162,7 @@
                  operators_file = \"operators.toml\"\n{}{peer}",
                 self.control,
                 self.api,
-                tls("control-1")
+                tls_settings("control-1")
             ),
         );
         self.write(
@@ -172,7 +173,7 @@
                  platform_url = \"http://127.0.0.1:1/machines\"\n{}\
                  [[control]]\nid = 1\naddress = \"{}\"\n",
                 self.relay,
-                tls("relay-1"),
+                tls_settings("relay-1"),
                 self.control
             ),
         );
@@ -185,47 +186,47 @@
                  drain_notice_ms = 0\n{}\
                  [[relay]]\naddress = \"{}\"\nzone = \"zone-a\"\nregion = \"south\"\n",
                 self.proxy,
-                tls("proxy-1"),
+                tls_settings("proxy-1"),
                 self.relay
             ),
         );
     }
 
-    fn log(&self, role: &str) -> PathBuf {
+    fn log_path(&self, role: &str) -> PathBuf {
         self.path().join(format!("{role}.log"))
     }
 
-    fn start(&self, role: &str, more: &[&str]) -> Running {
-        let log = fs::File::options().create(true).append(true).open(self.log(role)).unwrap();
+    fn start(&self, role: &str, extra_arguments: &[&str]) -> RunningProcess {
+        let log = fs::File::options().create(true).append(true).open(self.log_path(role)).unwrap();
         let settings = format!("{role}.toml");
         let child = Command::new(PROGRAM)
             .args([role, "--settings", &settings, "--log-level", "trace"])
-            .args(more)
+            .args(extra_arguments)
             .current_dir(self.path())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
             .unwrap();
-        Running(child)
+        RunningProcess(child)
     }
 
-    fn start_all(&self) -> Vec<Running> {
-        let all = vec![
+    fn start_all(&self) -> Vec<RunningProcess> {
+        let processes = vec![
             self.start("control", &["--bootstrap"]),
             self.start("relay", &[]),
             self.start("proxy", &[]),
         ];
         wait_until("control leads", || get(self.metrics[0], "/readyz").is_some());
-        all
+        processes
     }
 
-    /// Submits as one operator, approves as the other and rolls.
+    /// Submits a bundle as one operator, approves it as the other and rolls it out.
     fn roll_out(&self, version: u64, expected: u64) {
         let folder = self.path();
         let version = version.to_string();
         let submit = ["bundle", "submit", "bundle.toml", "--version", &version, "-c", "alice.toml"];
-        let told = succeed(folder, &submit);
-        let digest = told.split_whitespace().find(|word| word.len() == 64).expect("a digest");
+        let output = succeed(folder, &submit);
+        let digest = output.split_whitespace().find(|word| word.len() == 64).expect("a digest");
         succeed(folder, &["bundle", "approve", digest, "-c", "bob.toml"]);
         let expected = expected.to_string();
         succeed(folder, &["bundle", "roll", digest, "--expect", &expected, "-c", "alice.toml"]);
@@ -243,9 +244,9 @@
     }
 
     fn wait_in_force(&self, generation: u64) {
-        let held = format!("\"generation\":{generation}");
+        let expected = format!("\"generation\":{generation}");
         wait_until("the generation is in force", || {
-            get(self.metrics[2], "/status").is_some_and(|status| status.contains(&held))
+            get(self.metrics[2], "/status").is_some_and(|status| status.contains(&expected))
         });
     }
 }
@@ -258,21 +259,21 @@
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "not within {LIMIT:?}: {what}");
+        assert!(Instant::now() < deadline, "timed out after {WAIT_TIMEOUT:?} waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn terminate(running: &mut Running) -> Option<i32> {
+fn terminate(running: &mut RunningProcess) -> Option<i32> {
     let id = running.0.id().to_string();
     Command::new("kill").args(["-TERM", &id]).status().unwrap();
     running.0.wait().unwrap().code()
 }
 
-/// Starts a role that must refuse to run; returns what it says.
-fn refusal(fleet: &Fleet, arguments: &[&str]) -> String {
+/// Starts a role that must refuse to run; returns its output.
+fn run_refused(fleet: &Fleet, arguments: &[&str]) -> String {
     let output = run(fleet.path(), arguments);
     assert!(!output.status.success(), "{arguments:?} started");
     String::from_utf8(output.stderr).unwrap() + &String::from_utf8(output.stdout).unwrap()
@@ -294,7 +295,7 @@
         assert_eq!(terminate(process), Some(0));
     }
     for role in ["control", "relay", "proxy"] {
-        let log = fs::read_to_string(fleet.log(role)).unwrap();
+        let log = fs::read_to_string(fleet.log_path(role)).unwrap();
         assert!(!log.is_empty());
         assert!(!log.contains(SECRET), "{role} logs a secret");
     }
@@ -312,7 +313,7 @@
     fleet.roll_out(1, 0);
     fleet.wait_in_force(1);
     let reloads = |role: &str| {
-        let log = fs::read_to_string(fleet.log(role)).unwrap();
+        let log = fs::read_to_string(fleet.log_path(role)).unwrap();
         log.matches("certificates_reloaded").count()
     };
     succeed(fleet.path(), &["keys", "rotate", "--dir", "keys", "--fleet", "fares"]);
@@ -339,7 +340,7 @@
     fleet.write_bundle(1_000);
     fleet.roll_out(1, 0);
     drop(running.remove(0));
-    let _again = fleet.start("control", &[]);
+    let _restarted = fleet.start("control", &[]);
     wait_until("control leads again", || get(fleet.metrics[0], "/readyz").is_some());
     let history = succeed(fleet.path(), &["bundle", "history", "-c", "alice.toml"]);
     let compact = history.replace(char::is_whitespace, "");
@@ -356,14 +357,14 @@
     fleet.write_bundle(1_000);
     fleet.roll_out(1, 0);
     let folder = fleet.path();
-    let busy = run(folder, &["data", "backup", "data", "too-early"]);
-    assert!(!busy.status.success(), "a running replica's folder was copied");
+    let while_running = run(folder, &["data", "backup", "data", "too-early"]);
+    assert!(!while_running.status.success(), "a running replica's folder was copied");
     assert_eq!(terminate(&mut running[0]), Some(0));
     succeed(folder, &["data", "backup", "data", "backup"]);
     succeed(folder, &["data", "check", "backup"]);
     fs::remove_dir_all(folder.join("data")).unwrap();
     succeed(folder, &["data", "restore", "backup", "data"]);
-    let _again = fleet.start("control", &[]);
+    let _restarted = fleet.start("control", &[]);
     wait_until("control leads again", || get(fleet.metrics[0], "/readyz").is_some());
     let status = succeed(folder, &["status", "-c", "alice.toml"]);
     assert!(status.contains("newest generation   1"), "{status}");
@@ -409,8 +410,8 @@
         if role == "control" {
             arguments.push("--bootstrap");
         }
-        let told = refusal(&fleet, &arguments);
-        assert!(told.contains(&address.to_string()), "{role}: {told}");
+        let output = run_refused(&fleet, &arguments);
+        assert!(output.contains(&address.to_string()), "{role}: {output}");
     }
 }
 
@@ -425,8 +426,8 @@
     fleet.write("other.toml", &other);
     let issue = ["keys", "issue", "--dir", "keys", "--role", "control", "--name", "control-2"];
     succeed(fleet.path(), &[&issue[..], &["--zone", "zone-a"]].concat());
-    let told = refusal(&fleet, &["control", "--settings", "other.toml"]);
-    assert!(told.contains("belongs to member 1"), "{told}");
+    let output = run_refused(&fleet, &["control", "--settings", "other.toml"]);
+    assert!(output.contains("belongs to member 1"), "{output}");
 }
 
 #[test]
@@ -439,28 +440,28 @@
     let head = format!(
         "POST /v1/submit HTTP/1.1\r\nHost: control.example\r\nContent-Length: {LONG_BODY}\r\n\r\n"
     );
-    let mut stream = TcpStream::connect(fleet.api).expect("it listens");
-    stream.set_read_timeout(Some(LIMIT)).expect("a socket option");
-    stream.write_all(format!("{head}{first}").as_bytes()).expect("it is taken");
-    thread::sleep(MOMENT);
+    let mut stream = TcpStream::connect(fleet.api).expect("the replica listens");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
+    stream.write_all(format!("{head}{first}").as_bytes()).expect("the kernel accepts the bytes");
+    thread::sleep(STEP_DELAY);
     let id = control.0.id().to_string();
     Command::new("kill").args(["-TERM", &id]).status().unwrap();
-    thread::sleep(MOMENT);
-    stream.write_all(second.as_bytes()).expect("it is taken");
+    thread::sleep(STEP_DELAY);
+    stream.write_all(second.as_bytes()).expect("the kernel accepts the bytes");
     let mut line = [0; 12];
     let read = stream.read_exact(&mut line);
-    assert!(read.is_ok(), "it ended without an answer: {read:?}");
+    assert!(read.is_ok(), "the replica exited without an answer: {read:?}");
 }
 
 #[test]
 fn an_empty_folder_is_refused() {
     let fleet = Fleet::create();
-    let told = refusal(&fleet, &["control", "--settings", "control.toml"]);
-    assert!(told.contains("is empty") && told.contains("--join"), "{told}");
+    let output = run_refused(&fleet, &["control", "--settings", "control.toml"]);
+    assert!(output.contains("is empty") && output.contains("--join"), "{output}");
 }
 
-/// Starts the replica with a limit on the size of its files, beyond which writes fail.
-fn start_with_small_disk(fleet: &Fleet) -> Running {
+/// Starts the control replica with a limit on its file size, beyond which writes fail.
+fn start_with_small_disk(fleet: &Fleet) -> RunningProcess {
     let limited = format!(
         "trap '' XFSZ; ulimit -f {DISK_BLOCKS}; exec '{PROGRAM}' control --settings control.toml \
          --bootstrap --log-level error"
@@ -472,7 +473,7 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    Running(child)
+    RunningProcess(child)
 }
 
 #[test]
@@ -482,8 +483,8 @@
     wait_until("control leads", || get(fleet.metrics[0], "/readyz").is_some());
     let mut random = fastrand::Rng::with_seed(9);
     let mut accepted = Vec::new();
-    for version in 1..=MOST_VERSIONS {
-        // Random text, so that it does not compress to nothing.
+    for version in 1..=MAX_VERSIONS {
+        // Random text, since other text would be compressed to almost nothing.
         let value: String = (0..8_000).map(|_| random.alphanumeric()).collect();
         fleet.write("big.toml", &format!("[[secret]]\nname = \"big\"\nvalue = \"{value}\"\n"));
         let number = version.to_string();
@@ -493,9 +494,13 @@
         }
         accepted.push(version);
     }
-    assert_eq!(limited.0.wait().unwrap().code(), Some(74), "the failed write ends the process");
-    assert!(!accepted.is_empty() && accepted.len() < MOST_VERSIONS as usize);
-    let _again = fleet.start("control", &[]);
+    assert_eq!(
+        limited.0.wait().unwrap().code(),
+        Some(74),
+        "the failed write terminates the process"
+    );
+    assert!(!accepted.is_empty() && accepted.len() < MAX_VERSIONS as usize);
+    let _restarted = fleet.start("control", &[]);
     wait_until("control leads again", || get(fleet.metrics[0], "/readyz").is_some());
     let listed = succeed(fleet.path(), &["bundle", "list", "-c", "alice.toml"]);
     let lines = listed.lines().filter(|line| line.contains("alice")).count();
--- a/crates/chutecove/tests/tenants.rs
+++ b/crates/chutecove/tests/tenants.rs
@@ -1,11 +1,11 @@
-//! Tenants in the product's own documents, in lists of changes, and in a fleet of real processes.
+//! Tenants in native configuration documents, in diffs, and in a fleet of real processes.
 
 mod fleet;
 
 use bundle::{Bundle, Object, Tenant};
 use chutecove::{changes, dialect};
 use expect_test::expect;
-use fleet::{agent, configuration, wait, Fleet, SERVICE};
+use fleet::{agent, configuration, wait_until, Fleet, SERVICE};
 use serde_json::{json, Value};
 use std::process::Command;
 
@@ -16,7 +16,7 @@
     document
 }
 
-fn refusal(tenants: &[Value]) -> String {
+fn validation_result(tenants: &[Value]) -> String {
     match dialect::read_document(document(tenants).to_string().as_bytes()) {
         Err(reason) => reason,
         Ok((_, bundle)) => {
@@ -51,7 +51,7 @@
     ];
     let mut text = String::new();
     for (name, tenants) in rows {
-        let refused = refusal(&tenants);
+        let refused = validation_result(&tenants);
         assert!(!refused.contains("secret"), "{name}: {refused}");
         text.push_str(&format!("{name}: {refused}\n"));
     }
@@ -114,9 +114,9 @@
     let old = write("old.json", &[json!({ "name": "a", "keys": ["hidden-1"] })]);
     let new = write("new.json", &[json!({ "name": "a", "keys": ["hidden-2"] })]);
     let bad = write("bad.json", &[json!({ "name": "a", "keys": ["hidden-1", "hidden-1"] })]);
-    let tool = |arguments: &[&str]| {
+    let run_bundle_command = |arguments: &[&str]| {
         let output = Command::new(fleet::PROGRAM).arg("bundle").args(arguments).output();
-        let output = output.expect("it runs");
+        let output = output.expect("the command runs");
         let (stdout, stderr) = (output.stdout, output.stderr);
         let text = String::from_utf8([stdout, stderr].concat()).expect("text");
         assert!(!text.contains("hidden"), "{text}");
@@ -125,21 +125,21 @@
     expect![[r#"
         valid: 1 services, 1 routes, 0 secrets, 1 tenants, 1 keys, 126 bytes
     "#]]
-    .assert_eq(&tool(&["check", &old]));
+    .assert_eq(&run_bundle_command(&["check", &old]));
     expect![[r#"
         ~ tenant 'a'
             - key 7dbf19e7
             + key a7eed68a
     "#]]
-    .assert_eq(&tool(&["diff", &old, &new]));
+    .assert_eq(&run_bundle_command(&["diff", &old, &new]));
     expect![[r#"
         bad.json: tenant 'a': keys: key 2 (7dbf19e7) is there twice
     "#]]
-    .assert_eq(&tool(&["check", &bad]));
+    .assert_eq(&run_bundle_command(&["check", &bad]));
 }
 
-/// Puts a document in force at whichever coordinator takes it.
-fn put(fleet: &Fleet, expected: u64, version: u64, tenants: &[Value]) -> bool {
+/// Puts a document in force at whichever coordinator accepts it.
+fn put_document(fleet: &Fleet, expected: u64, version: u64, tenants: &[Value]) -> bool {
     let mut document = document(tenants);
     document["version"] = json!(version);
     let body = document.to_string();
@@ -150,7 +150,7 @@
     })
 }
 
-fn read_document(fleet: &Fleet, host: u8) -> Option<Value> {
+fn read_configuration(fleet: &Fleet, host: u8) -> Option<Value> {
     let url = format!("http://{}:{}/v1/configuration", fleet.ip(host), fleet.ports.api);
     let mut answer = agent().get(&url).call().ok().filter(|found| found.status() == 200)?;
     serde_json::from_str(&answer.body_mut().read_to_string().ok()?).ok()
@@ -178,35 +178,39 @@
     let _upstreams_sidecar = fleet.start_sidecar(12, SERVICE);
     let upstream = fleet.start_upstream(12);
     let first = json!({ "name": "a", "keys": ["key-1", "key-2"], "rank": 1 });
-    wait("the first order is taken", || put(&fleet, 0, 5, std::slice::from_ref(&first)));
-    wait("sidecars are ready", || fleet.is_ready(11) && fleet.is_ready(12));
-    wait("the upstream registers", || fleet.register(12, "i-1", 1, false));
-    wait("a call is served", || call(&fleet, "one", Some("key-1")) == Some(200));
-    wait("no key is denied", || call(&fleet, "two", None) == Some(401));
-    wait("an unknown key is denied", || call(&fleet, "three", Some("nobody's")) == Some(401));
-    let told = upstream.tenants.lock().expect("not poisoned").clone();
-    assert!(told.iter().all(|told| told == "a without a key"), "{told:?}");
+    wait_until("the first configuration is accepted", || {
+        put_document(&fleet, 0, 5, std::slice::from_ref(&first))
+    });
+    wait_until("sidecars are ready", || fleet.is_ready(11) && fleet.is_ready(12));
+    wait_until("the upstream registers", || fleet.register(12, "i-1", 1, false));
+    wait_until("a call is served", || call(&fleet, "one", Some("key-1")) == Some(200));
+    wait_until("a call without a key is denied", || call(&fleet, "two", None) == Some(401));
+    wait_until("an unknown key is denied", || call(&fleet, "three", Some("nobody's")) == Some(401));
+    let seen_tenants = upstream.tenants.lock().expect("not poisoned").clone();
+    assert!(seen_tenants.iter().all(|tenant| tenant == "a without a key"), "{seen_tenants:?}");
 
-    // One key is taken away, the other moves.
+    // One key is removed and the other moves to another tenant.
     let second = json!({ "name": "b", "keys": ["key-2"] });
-    wait("the next order is taken", || put(&fleet, 5, 6, std::slice::from_ref(&second)));
-    wait("it is in force", || call(&fleet, "four", Some("key-1")) == Some(401));
-    wait("the other key is known", || call(&fleet, "five", Some("key-2")) == Some(200));
-    let told = upstream.tenants.lock().expect("not poisoned").last().cloned();
-    assert_eq!(told.as_deref(), Some("b without a key"));
+    wait_until("the next configuration is accepted", || {
+        put_document(&fleet, 5, 6, std::slice::from_ref(&second))
+    });
+    wait_until("the removed key is denied", || call(&fleet, "four", Some("key-1")) == Some(401));
+    wait_until("the moved key is accepted", || call(&fleet, "five", Some("key-2")) == Some(200));
+    let seen_tenants = upstream.tenants.lock().expect("not poisoned").last().cloned();
+    assert_eq!(seen_tenants.as_deref(), Some("b without a key"));
 
-    // It stays so after a restart.
+    // The changes persist across a restart of the sidecar.
     drop(callers_sidecar);
     callers_sidecar = fleet.start_sidecar(11, "callers");
-    wait("the sidecar is ready again", || fleet.is_ready(11));
-    wait("a call is served", || call(&fleet, "six", Some("key-2")) == Some(200));
-    wait("the old key is denied", || call(&fleet, "seven", Some("key-1")) == Some(401));
+    wait_until("the sidecar is ready again", || fleet.is_ready(11));
+    wait_until("a call is served", || call(&fleet, "six", Some("key-2")) == Some(200));
+    wait_until("the old key is denied", || call(&fleet, "seven", Some("key-1")) == Some(401));
     drop(callers_sidecar);
     let mut read = None;
-    wait("a coordinator is sure", || {
-        read = (1..=3).find_map(|host| read_document(&fleet, host));
+    wait_until("a coordinator returns the configuration", || {
+        read = (1..=3).find_map(|host| read_configuration(&fleet, host));
         read.is_some()
     });
-    let read = read.expect("waited for");
+    let read = read.expect("a document was read");
     assert_eq!(read["objects"][2]["Tenant"]["keys"], json!(["key-2"]));
 }
