--- a/crates/chutecove/src/cli/bundle.rs
+++ b/crates/chutecove/src/cli/bundle.rs
@@ -259,8 +259,8 @@
             println!("generation {generation} returns to {digest}");
         }
         Accepted::ZoneEvacuated { zone } => println!("{zone} is evacuated"),
-        Accepted::ZoneRestored { zone } => println!("{zone} gets calls"),
-        Accepted::CanaryStarted { run } => println!("canary {run} is under way, or has ended"),
+        Accepted::ZoneRestored { zone } => println!("{zone} receives calls"),
+        Accepted::CanaryStarted { run } => println!("canary {run} is running or has ended"),
         Accepted::CanaryMoved { run, phase } => println!("canary {run}: {}", phase.as_str()),
     }
 }
--- a/crates/chutecove/src/cli/interface.rs
+++ b/crates/chutecove/src/cli/interface.rs
@@ -22,7 +22,7 @@
     Json,
 }
 
-/// Client for the API of one coordinator.
+/// Client for the API of one coordinator, with the output format of the command.
 pub struct CoordinatorClient {
     base: String,
     output: Output,
--- a/crates/chutecove/src/cli/keys.rs
+++ b/crates/chutecove/src/cli/keys.rs
@@ -43,16 +43,16 @@
     let folder = PathBuf::from(matches.opt_str("dir").unwrap_or_default());
     fs::create_dir_all(&folder).map_err(|error| io_failure(&folder, &error))?;
     match positional_argument(&matches, 0, "VERB")? {
-        "init" => init(&folder, &required(&matches, "fleet")?),
+        "init" => init(&folder, &required_option(&matches, "fleet")?),
         "issue" => issue(&folder, &matches),
-        "operator" => create_operator(&folder, &required(&matches, "name")?),
+        "operator" => create_operator(&folder, &required_option(&matches, "name")?),
         "seal" => add_seal_key(&folder),
-        "rotate" => rotate(&folder, &required(&matches, "fleet")?),
+        "rotate" => rotate(&folder, &required_option(&matches, "fleet")?),
         _ => Err(Failure::usage(BRIEF)),
     }
 }
 
-fn required(matches: &Matches, name: &str) -> Result<String, Failure> {
+fn required_option(matches: &Matches, name: &str) -> Result<String, Failure> {
     matches.opt_str(name).ok_or_else(|| Failure::usage(format!("missing option --{name}")))
 }
 
@@ -66,7 +66,7 @@
         .map_err(|error| io_failure(path, &error))
 }
 
-fn read(path: &Path) -> Result<String, Failure> {
+fn read_file(path: &Path) -> Result<String, Failure> {
     fs::read_to_string(path).map_err(|error| io_failure(path, &error))
 }
 
@@ -79,16 +79,17 @@
 }
 
 fn issue(folder: &Path, matches: &Matches) -> Result<(), Failure> {
-    let role = required(matches, "role")?;
+    let role = required_option(matches, "role")?;
     let role = Role::parse(&role)
         .ok_or_else(|| Failure::usage(format!("'{role}' is not control, relay or proxy")))?;
-    let (name, zone) = (required(matches, "name")?, required(matches, "zone")?);
+    let (name, zone) = (required_option(matches, "name")?, required_option(matches, "zone")?);
     let days: u64 = matches
         .opt_get_default("days", DEFAULT_LIFETIME_DAYS)
         .map_err(|error| Failure::usage(format!("--days: {error}")))?;
     // The newest authority signs; its certificate is the first in the file of trusted certificates.
-    let certificate = read(&folder.join(AUTHORITY_CERTIFICATE))?;
-    let authority = CertificateAuthority::from_pem(certificate, read(&folder.join(AUTHORITY_KEY))?);
+    let certificate = read_file(&folder.join(AUTHORITY_CERTIFICATE))?;
+    let authority =
+        CertificateAuthority::from_pem(certificate, read_file(&folder.join(AUTHORITY_KEY))?);
     let identity = Identity { role, name: name.clone(), zone };
     let lifetime = Duration::from_secs(days * 24 * 3600);
     let issued = issue_certificate(&authority, &identity, lifetime).map_err(Failure::refused)?;
@@ -122,7 +123,7 @@
 
 fn add_seal_key(folder: &Path) -> Result<(), Failure> {
     let path = folder.join(SEAL_KEYS);
-    let text = if path.exists() { read(&path)? } else { String::new() };
+    let text = if path.exists() { read_file(&path)? } else { String::new() };
     let key_id = text.lines().filter(|line| !line.trim().is_empty()).count() as u32 + 1;
     let mut bytes = [0; 32];
     SystemRandom::new()
@@ -135,10 +136,10 @@
 }
 
 fn rotate(folder: &Path, fleet: &str) -> Result<(), Failure> {
-    let old = read(&folder.join(AUTHORITY_CERTIFICATE))?;
+    let old_certificates = read_file(&folder.join(AUTHORITY_CERTIFICATE))?;
     let authority = CertificateAuthority::create(fleet).map_err(Failure::refused)?;
     replace_file(&folder.join(AUTHORITY_KEY), authority.key_pem(), PRIVATE_MODE)?;
-    let certificates = format!("{}{old}", authority.certificate_pem());
+    let certificates = format!("{}{old_certificates}", authority.certificate_pem());
     replace_file(&folder.join(AUTHORITY_CERTIFICATE), &certificates, 0o644)?;
     println!(
         "distribute {} to every process, issue all certificates again, then",
--- a/crates/chutecove/src/cli/mod.rs
+++ b/crates/chutecove/src/cli/mod.rs
@@ -68,7 +68,7 @@
     Ok((level, PathBuf::from(path), matches.opt_strs("set")))
 }
 
-/// Adds the options of commands that connect as an operator.
+/// Adds the options of commands that send signed requests as an operator.
 pub fn operator_options(options: &mut Options) {
     options.optopt("c", "config", "operator's settings file (operator.toml)", "FILE");
     options.optopt("", "request-id", "retry an earlier request under its id", "ID");
--- a/crates/chutecove/src/cli/status.rs
+++ b/crates/chutecove/src/cli/status.rs
@@ -26,7 +26,7 @@
         let status: Value = client.get("/v1/status")?;
         let text = match matches.opt_present("json") {
             true => format!("{status}\n"),
-            false => render(&status),
+            false => format_status(&status),
         };
         if !matches.opt_present("watch") {
             print!("{text}");
@@ -37,7 +37,7 @@
     }
 }
 
-fn render(status: &Value) -> String {
+fn format_status(status: &Value) -> String {
     let progress = &status["spread"];
     let mut lines = vec![
         format!("newest generation   {}", status["newest_generation"]),
@@ -52,13 +52,13 @@
         ));
     }
     lines.push(format!(
-        "proxies             {} in touch, {} unknown, {} refused their target",
+        "proxies             {} connected, {} unknown, {} refused their target",
         progress["proxies"], progress["unknown"], progress["errors"]
     ));
     for entry in progress["by_generation"].as_array().into_iter().flatten() {
         lines.push(format!("  generation {:<8} {} proxies", entry[0].to_string(), entry[1]));
     }
-    lines.push(format!("relays              {} in touch", progress["relays"]));
+    lines.push(format!("relays              {} connected", progress["relays"]));
     for relay in progress["silent_relays"].as_array().into_iter().flatten() {
         lines.push(format!("  silent            {relay}"));
     }
--- a/crates/chutecove/src/operator.rs
+++ b/crates/chutecove/src/operator.rs
@@ -15,9 +15,9 @@
 use telemetry::BootInstant;
 use verdict::Verdict;
 
-/// A replica that has not responded by then may be frozen or partitioned, so the request is sent to
-/// another one; the request id makes that idempotent. A leader commits in a fraction of this time, also
-/// across regions.
+/// Time limit of one attempt. A replica that has not responded by then may be frozen or partitioned, so the
+/// request is sent to another one; the request id makes retries idempotent. A leader commits in a fraction
+/// of this time, also across regions.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time limit for retries of a request under the same id until a leader answers.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(15);
@@ -127,7 +127,7 @@
         self.call(&ApiRequest { method: "POST", path, body, request_id: &request_id })
     }
 
-    fn call<T: DeserializeOwned>(&self, call: &ApiRequest<'_>) -> Result<T, Failure> {
+    fn call<T: DeserializeOwned>(&self, api_request: &ApiRequest<'_>) -> Result<T, Failure> {
         let deadline = BootInstant::now() + TOTAL_TIMEOUT;
         let mut next_replica = 0;
         let mut leader_hint: Option<SocketAddr> = None;
@@ -137,7 +137,7 @@
                 next_replica += 1;
                 self.settings.api[(next_replica - 1) % self.settings.api.len()]
             });
-            let message = match self.send(address, call) {
+            let message = match self.send(address, api_request) {
                 AttemptOutcome::Success(text) => return parse_response(&text),
                 AttemptOutcome::ErrorResponse(error, 421) => {
                     leader_hint = error.leader_api.filter(|leader| *leader != address);
@@ -154,7 +154,7 @@
                 }
             };
             if BootInstant::now() >= deadline {
-                return Err(timeout_failure(worst_verdict, call.request_id, &message));
+                return Err(timeout_failure(worst_verdict, api_request.request_id, &message));
             }
             if leader_hint.is_none() {
                 std::thread::sleep(RETRY_DELAY);
@@ -162,21 +162,27 @@
         }
     }
 
-    fn send(&self, address: SocketAddr, call: &ApiRequest<'_>) -> AttemptOutcome {
+    fn send(&self, address: SocketAddr, api_request: &ApiRequest<'_>) -> AttemptOutcome {
         let time_s = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |since_epoch| since_epoch.as_secs());
         let operator = &self.settings.operator;
-        let message =
-            signing_message(call.method, call.path, operator, call.request_id, time_s, call.body);
+        let message = signing_message(
+            api_request.method,
+            api_request.path,
+            operator,
+            api_request.request_id,
+            time_s,
+            api_request.body,
+        );
         let request = ureq::http::Request::builder()
-            .method(call.method)
-            .uri(format!("http://{address}{}", call.path))
+            .method(api_request.method)
+            .uri(format!("http://{address}{}", api_request.path))
             .header(OPERATOR_HEADER, operator)
-            .header(REQUEST_ID_HEADER, call.request_id)
+            .header(REQUEST_ID_HEADER, api_request.request_id)
             .header(TIME_HEADER, time_s.to_string())
             .header(SIGNATURE_HEADER, encode_hex(&self.sign(&message)))
-            .body(call.body);
+            .body(api_request.body);
         let response = request
             .map_err(ureq::Error::from)
             .and_then(|request| self.agent.run(request))
@@ -227,12 +233,12 @@
 
 fn timeout_failure(verdict: Verdict, request_id: &str, message: &str) -> Failure {
     if verdict == Verdict::NotRun {
-        let message = format!("no control replica could be reached: {message} [not-run]");
+        let message = format!("no control replica answered: {message} [not-run]");
         return Failure { message, code: UNREACHABLE };
     }
     let message = format!(
-        "not answered in time: {message} [may-have-run]; send it again with \
-         --request-id {request_id} to learn the outcome without doing it twice"
+        "not answered in time: {message} [may-have-run]; repeat it with \
+         --request-id {request_id} to learn the outcome without applying it twice"
     );
     Failure { message, code: MAY_HAVE_RUN }
 }
