--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -1,143 +1,152 @@
-//! The sidecar's side: whether a tenant's call may go on, before it costs a hop.
+//! The sidecar's side: decides whether a tenant's call may proceed, before it costs a hop.
 //!
-//! Load answered: most of a fleet's tenants send some requests a second, spread over all nodes, so
-//! that no node can hold credit ready for each. A call that finds none waits for one answer of a
-//! coordinator, some milliseconds; tenants that send much have credit ahead of need.
+//! Most tenants send a few requests per second, spread over all nodes, so a node cannot hold credit
+//! in advance for each. A call that finds no credit waits for one answer of a coordinator, some
+//! milliseconds; for tenants that send many requests, credit is prefetched.
 
 use crate::limit::Limit;
 use crate::{Millis, LEASE_MS, LOAN_MS};
 use mesh::{CreditAnswer, CreditAsk, CreditGrant, CreditRequest, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Wait of a call for a credit, milliseconds: a way to a coordinator and back takes some, a pull from
-/// another zone some more; calls with a short target have most of it left then.
+/// Maximum wait of a call for a credit while answers are fast, milliseconds: a round trip to a
+/// coordinator takes some, a pull from another zone some more. After it, calls with a short target
+/// still have most of that left.
 pub const WAIT_MS: Millis = 120;
-/// Longest wait where answers take long, milliseconds. On a full link of 16 Mbit/s they took 0.1 to
-/// 0.4 s; what else a call waits for there is as slow.
-pub const LONGEST_WAIT_MS: Millis = 400;
-/// Time after which a request that was not answered is sent again, to another coordinator if there
-/// is one, milliseconds: several usual answers, and twice within a call's wait.
-const ANSWER_MS: Millis = 45;
-/// An answer may take this many times as long as answers of late.
-const ANSWER_FACTOR: f64 = 2.0;
-/// Weight of one answer in the usual time of answers.
-const ANSWER_WEIGHT: f64 = 0.2;
-/// Least time between two requests, milliseconds: a clump of calls asks once.
-const COLLECT_MS: Millis = 5;
-/// Answers that take longer than this make credit ahead worth more, milliseconds.
+/// Maximum wait while answers are slow, milliseconds. On a full link of 16 Mbit/s they took 0.1 to
+/// 0.4 s; whatever else a call waits for on such a link is as slow.
+pub const MAX_WAIT_MS: Millis = 400;
+/// Minimum time after which an unanswered request is repeated, to another coordinator if there is
+/// one, milliseconds: several times a typical answer time, and short enough to repeat a request
+/// twice within a call's wait.
+const MIN_ANSWER_TIMEOUT_MS: Millis = 45;
+/// Answer timeouts and waits, within their bounds, are this many times the mean answer time.
+const ANSWER_TIMEOUT_FACTOR: f64 = 2.0;
+/// Weight of one answer in the moving average of answer times.
+const ANSWER_TIME_WEIGHT: f64 = 0.2;
+/// Minimum interval between two requests, milliseconds: calls that arrive together share a request.
+const MIN_REQUEST_INTERVAL_MS: Millis = 5;
+/// Mean answer time above which credit is prefetched at lower rates, because a call without credit
+/// waits longer, milliseconds.
 const SLOW_ANSWER_MS: f64 = 30.0;
-/// Least rate of calls then for which credit is held ahead, a second.
-const SLOW_AHEAD_PER_S: f64 = 1.0;
-/// Longest time between two requests while any tenant has a limit, milliseconds: several in the time
-/// that this sidecar's part stays lent.
+/// Minimum rate of calls for which credit is then prefetched, per second.
+const SLOW_PREFETCH_MIN_PER_S: f64 = 1.0;
+/// Maximum interval between two requests while any tenant has a limit, milliseconds: several
+/// requests fit in the time for which this sidecar's share stays lent.
 pub const REQUEST_INTERVAL_MS: Millis = 400;
-/// Time between two requests for credit ahead of need, milliseconds: they are sent together.
-const AHEAD_INTERVAL_MS: Millis = 150;
-/// Credit is held ahead for calls of this time, milliseconds: two requests and an answer.
-const AHEAD_MS: f64 = 350.0;
-/// Least rate of calls here for which credit is held ahead, a second: below, most of it would not
-/// be spent while it lives.
-const AHEAD_PER_S: f64 = 4.0;
-/// Time over which a tenant's rate of calls is measured, milliseconds: demand may rise tenfold within
+/// Minimum interval between two prefetches for a tenant, milliseconds; those of several tenants are
+/// sent together.
+const PREFETCH_INTERVAL_MS: Millis = 150;
+/// Credit is prefetched for the calls expected in this time, milliseconds: two prefetch intervals
+/// and an answer.
+const PREFETCH_MS: f64 = 350.0;
+/// Minimum rate of calls at this sidecar for which credit is prefetched, per second: below, most of
+/// it would expire unspent.
+const PREFETCH_MIN_PER_S: f64 = 4.0;
+/// Decay time of the measured rate of a tenant's calls, milliseconds: demand may rise tenfold within
 /// some tenths of a second.
-const RATE_MS: f64 = 500.0;
-/// Most calls that wait here for credits of one tenant, and of all.
-const MOST_WAITING: usize = 64;
-const MOST_WAITING_IN_ALL: usize = 512;
-/// Retry time told when no coordinator answers, milliseconds: links are opened anew within this.
+const RATE_DECAY_MS: f64 = 500.0;
+/// Maximum number of calls of one tenant that wait here for credit.
+const MAX_WAITING_PER_TENANT: usize = 64;
+/// Maximum number of calls of all tenants that wait here for credit.
+const MAX_WAITING: usize = 512;
+/// Retry time for callers if no coordinator answers, milliseconds: links are reconnected within it.
 const UNANSWERED_RETRY_MS: Millis = 500;
-/// Longest retry time told, milliseconds.
-const LONGEST_RETRY_MS: Millis = 2_000;
-/// Time for which the word that there is no credit refuses calls without another request,
-/// milliseconds: a tenant above its limit costs ten requests a second, and what comes in for it
-/// meanwhile stays in the pool.
-const EMPTY_MS: Millis = 100;
-/// Time between two looks at all tenants for what is wanted ahead, milliseconds.
-const LOOK_MS: Millis = 50;
-/// A tenant that sent nothing for this long is forgotten, milliseconds.
-const IDLE_MS: Millis = 10_000;
-
-/// What became of a call that waited.
+/// Maximum retry time for callers, milliseconds.
+const MAX_RETRY_MS: Millis = 2_000;
+/// Time for which a reported shortage refuses calls without another request, milliseconds: a tenant
+/// above its limit costs ten requests per second, and its credit meanwhile accumulates in the pool.
+const SHORTAGE_MS: Millis = 100;
+/// Interval at which all tenants are checked for credit to prefetch, milliseconds.
+const SCAN_INTERVAL_MS: Millis = 50;
+/// A tenant without calls for this long is removed, milliseconds.
+const IDLE_TENANT_MS: Millis = 10_000;
+
+/// How the wait of a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It may go on.
+    /// The call may proceed.
     Admitted,
-    /// It may not.
+    /// The call may not proceed.
     Refused(Refusal),
 }
 
-/// Why a call may not go on, and when one like it may.
+/// Why a call may not proceed, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// When a credit is likely there, milliseconds.
+    /// Time after which a credit is likely available, milliseconds.
     pub retry_after_ms: Millis,
-    /// Age of the word that there is none, milliseconds; `None` if no coordinator answered.
+    /// Age of the coordinator's report that there is no credit, milliseconds; `None` if no
+    /// coordinator answered.
     pub told_ms_ago: Option<Millis>,
 }
 
-/// Totals since the start.
+/// Totals since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounts {
-    /// Calls let on with a credit that was held.
+    /// Calls admitted at once with a credit held here.
     pub admitted: u64,
-    /// Calls let on after a wait.
+    /// Calls admitted after a wait.
     pub waited: u64,
-    /// Calls above their quota.
+    /// Calls refused because credit was reported missing, or because too many calls were waiting.
     pub refused: u64,
-    /// Calls refused because no coordinator answered.
+    /// Calls refused because no coordinator answered in time.
     pub unanswered: u64,
-    /// Calls let on or refused by this sidecar's own part, while it hears no coordinator.
+    /// Calls admitted or refused by this sidecar's own share, while no coordinator was reachable.
     pub alone: u64,
 }
 
-/// One call that waits.
+/// A call that waits for credit.
 #[derive(Debug)]
-struct Waiting<T> {
+struct WaitingCall<T> {
     item: T,
     until: Millis,
 }
 
-/// What was asked for and not answered yet.
+/// Credit that was requested, without an answer yet.
 #[derive(Clone, Copy, Debug)]
-struct InFlight {
+struct PendingAsk {
     asked_at: Millis,
     need: u16,
     ahead: u16,
 }
 
-/// A coordinator's word that there is no credit.
+/// A coordinator's report that there is no credit.
 #[derive(Clone, Copy, Debug)]
-struct Empty {
-    /// When there may be some.
+struct Shortage {
+    /// When credit is expected.
     retry_at: Millis,
-    told_at: Millis,
+    reported_at: Millis,
 }
 
-/// This node's own part of a bucket, used while no coordinator is heard.
+/// This node's own share of a bucket, used while no coordinator is reachable.
 #[derive(Clone, Copy, Debug)]
-struct OwnPart {
+struct OwnBucket {
     level: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 #[derive(Debug)]
 struct Account<T> {
     limit: Limit,
+    /// Unspent credits.
     held: u32,
     held_until: Millis,
+    /// Requests sent to upstreams without a credit and not reported yet.
     debt: u32,
-    waiting: VecDeque<Waiting<T>>,
-    in_flight: VecDeque<InFlight>,
-    /// Calls of late, decaying.
-    calls: f64,
-    calls_at: Millis,
-    /// Calls refused by that word since the last request.
+    waiting: VecDeque<WaitingCall<T>>,
+    pending: VecDeque<PendingAsk>,
+    /// Decayed count of calls.
+    recent_calls: f64,
+    recent_calls_at: Millis,
+    /// Calls refused because of a reported shortage since the last request.
     refused: u32,
-    empty: Option<Empty>,
-    /// When it may be asked again for calls that wait.
-    ask_at: Millis,
-    ahead_at: Millis,
-    own: Option<OwnPart>,
+    shortage: Option<Shortage>,
+    /// When credit for waiting calls may be requested again.
+    next_ask_at: Millis,
+    /// When credit was last requested.
+    last_ask_at: Millis,
+    own_bucket: Option<OwnBucket>,
 }
 
 impl<T> Account<T> {
@@ -148,14 +157,14 @@
             held_until: 0,
             debt: 0,
             waiting: VecDeque::new(),
-            in_flight: VecDeque::new(),
-            calls: 0.0,
-            calls_at: now,
+            pending: VecDeque::new(),
+            recent_calls: 0.0,
+            recent_calls_at: now,
             refused: 0,
-            empty: None,
-            ask_at: 0,
-            ahead_at: 0,
-            own: None,
+            shortage: None,
+            next_ask_at: 0,
+            last_ask_at: 0,
+            own_bucket: None,
         }
     }
 
@@ -166,20 +175,21 @@
         if limit.is_below(&self.limit) {
             self.held = 0;
         }
-        (self.limit, self.empty) = (limit, None);
+        (self.limit, self.shortage) = (limit, None);
     }
 
-    fn note_call(&mut self, now: Millis) {
-        let passed = now.saturating_sub(self.calls_at) as f64;
-        self.calls = self.calls * (-passed / RATE_MS).exp() + 1.0;
-        self.calls_at = now;
+    fn record_call(&mut self, now: Millis) {
+        let elapsed = now.saturating_sub(self.recent_calls_at) as f64;
+        self.recent_calls = self.recent_calls * (-elapsed / RATE_DECAY_MS).exp() + 1.0;
+        self.recent_calls_at = now;
     }
 
     fn calls_per_s(&self, now: Millis) -> f64 {
-        let passed = now.saturating_sub(self.calls_at) as f64;
-        self.calls * (-passed / RATE_MS).exp() * 1_000.0 / RATE_MS
+        let elapsed = now.saturating_sub(self.recent_calls_at) as f64;
+        self.recent_calls * (-elapsed / RATE_DECAY_MS).exp() * 1_000.0 / RATE_DECAY_MS
     }
 
+    /// Spends a held credit, if there is one.
     fn spend(&mut self, now: Millis) -> bool {
         if now >= self.held_until {
             self.held = 0;
@@ -189,81 +199,84 @@
         any
     }
 
-    /// Credits to have ahead, less what is held or on its way.
-    fn ahead(&self, answer_ms: f64, now: Millis) -> u32 {
+    /// Credits to prefetch in addition to those held and requested.
+    fn prefetch(&self, answer_ms: f64, now: Millis) -> u32 {
         let rate = self.calls_per_s(now);
-        let least = if answer_ms > SLOW_ANSWER_MS { SLOW_AHEAD_PER_S } else { AHEAD_PER_S };
-        if rate < least {
+        let min_rate =
+            if answer_ms > SLOW_ANSWER_MS { SLOW_PREFETCH_MIN_PER_S } else { PREFETCH_MIN_PER_S };
+        if rate < min_rate {
             return 0;
         }
-        let wanted = (rate * (AHEAD_MS + answer_ms) / 1_000.0).ceil() as u32;
-        wanted.saturating_sub(self.held + self.ahead_in_flight())
+        let wanted = (rate * (PREFETCH_MS + answer_ms) / 1_000.0).ceil() as u32;
+        wanted.saturating_sub(self.held + self.pending_prefetch())
     }
 
-    fn ahead_in_flight(&self) -> u32 {
-        self.in_flight.iter().map(|asked| u32::from(asked.ahead)).sum()
+    fn pending_prefetch(&self) -> u32 {
+        self.pending.iter().map(|ask| u32::from(ask.ahead)).sum()
     }
 
-    /// Calls that wait and that nothing was asked for, or not answered in time.
-    fn unasked(&self, answer_ms: Millis, now: Millis) -> u32 {
-        let due = |asked: &&InFlight| now < asked.asked_at + answer_ms;
-        let asked: u32 = self.in_flight.iter().filter(due).map(|asked| u32::from(asked.need)).sum();
-        (self.waiting.len() as u32).saturating_sub(asked)
+    /// Number of waiting calls for which no credit was requested, or none granted in time.
+    fn unrequested(&self, timeout_ms: Millis, now: Millis) -> u32 {
+        let in_time = |ask: &&PendingAsk| now < ask.asked_at + timeout_ms;
+        let requested: u32 =
+            self.pending.iter().filter(in_time).map(|ask| u32::from(ask.need)).sum();
+        (self.waiting.len() as u32).saturating_sub(requested)
     }
 }
 
-/// All tenants' accounts at one sidecar, with the calls `T` that wait.
+/// The accounts of all tenants at one sidecar, with the waiting calls `T`.
 #[derive(Debug)]
 pub struct Gate<T> {
     accounts: BTreeMap<TenantId, Account<T>>,
-    /// Those whose calls wait, and how many calls.
-    busy: BTreeSet<TenantId>,
+    /// Tenants with waiting calls.
+    tenants_waiting: BTreeSet<TenantId>,
+    /// Number of waiting calls of all tenants.
     waiting: usize,
-    /// When all accounts were last looked at, not just the busy ones.
-    looked_at: Option<Millis>,
+    /// When all accounts, not only those with waiting calls, were last checked.
+    scanned_at: Option<Millis>,
     random: fastrand::Rng,
-    /// Sidecars among which quotas are divided; 0 while unknown.
+    /// Number of sidecars among which quotas are divided; 0 while unknown.
     nodes: u32,
-    /// When the oldest request without an answer was sent.
+    /// When the oldest unanswered request was sent.
     unanswered_since: Option<Millis>,
-    /// Usual time of an answer, milliseconds.
-    answer_ms: f64,
+    /// Moving average of answer times, milliseconds.
+    mean_answer_ms: f64,
     last_request: Option<Millis>,
-    /// Whom this sidecar's part was lent to last.
+    /// The coordinator that this sidecar's share was last lent to.
     lent_to: Option<u64>,
-    /// Until when it may be counted there.
+    /// Until when that coordinator may count the share.
     lent_until: Millis,
-    /// Whether a coordinator can be asked.
+    /// Whether a coordinator is connected.
     linked: bool,
     /// Whether any tenant has a limit.
-    bounded: bool,
-    /// Totals.
+    any_limit: bool,
+    /// Totals since the process started.
     pub counts: GateCounts,
 }
 
 impl<T> Gate<T> {
-    /// Nothing held, nothing known.
+    /// Creates a gate without credit. `seed` is for random decisions.
     pub fn new(seed: u64) -> Self {
         Gate {
             accounts: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            tenants_waiting: BTreeSet::new(),
             waiting: 0,
-            looked_at: None,
+            scanned_at: None,
             random: fastrand::Rng::with_seed(seed),
             nodes: 0,
             unanswered_since: None,
-            answer_ms: 0.0,
+            mean_answer_ms: 0.0,
             last_request: None,
             lent_to: None,
             lent_until: 0,
             linked: false,
-            bounded: false,
+            any_limit: false,
             counts: GateCounts::default(),
         }
     }
 
-    /// Takes in a call of a tenant. It is given back with what becomes of it, or kept until
-    /// [`Self::settle`] does so.
+    /// Decides whether a call of a tenant may proceed. Returns the call with the outcome, or keeps it
+    /// until [`Self::settle`] returns it.
     pub fn admit(
         &mut self,
         tenant: TenantId,
@@ -277,36 +290,36 @@
             }
             return Some((item, Outcome::Admitted));
         }
-        let (alone, wait_ms) = (self.is_standalone(now), self.wait_ms());
+        let (is_standalone, wait_ms) = (self.is_standalone(now), self.wait_ms());
         let account = self.accounts.entry(tenant).or_insert_with(|| Account::new(limit, now));
         account.set_limit(limit);
-        account.note_call(now);
+        account.record_call(now);
         if account.waiting.is_empty() && account.spend(now) {
             self.counts.admitted += 1;
             return Some((item, Outcome::Admitted));
         }
-        if alone {
+        if is_standalone {
             self.counts.alone += 1;
-            let own = Alone { nodes: self.nodes, since: self.lent_until };
-            let outcome = alone_outcome(account, own, &mut self.random, now);
+            let standalone = Standalone { nodes: self.nodes, since: self.lent_until };
+            let outcome = standalone_outcome(account, standalone, &mut self.random, now);
             return Some((item, outcome));
         }
-        let fresh = |empty: &Empty| now < empty.told_at + EMPTY_MS;
+        let fresh = |shortage: &Shortage| now < shortage.reported_at + SHORTAGE_MS;
         let until = now + wait_ms;
-        let empty = account.empty.filter(fresh).filter(|empty| until < empty.retry_at);
-        let full = account.waiting.len() >= MOST_WAITING || self.waiting >= MOST_WAITING_IN_ALL;
-        if empty.is_some() || full {
+        let shortage = account.shortage.filter(fresh).filter(|shortage| until < shortage.retry_at);
+        let full = account.waiting.len() >= MAX_WAITING_PER_TENANT || self.waiting >= MAX_WAITING;
+        if shortage.is_some() || full {
             self.counts.refused += 1;
             account.refused += 1;
-            return Some((item, Outcome::Refused(refusal(account.empty, now))));
+            return Some((item, Outcome::Refused(refusal(account.shortage, now))));
         }
-        account.waiting.push_back(Waiting { item, until });
+        account.waiting.push_back(WaitingCall { item, until });
         self.waiting += 1;
-        self.busy.insert(tenant);
+        self.tenants_waiting.insert(tenant);
         None
     }
 
-    /// Takes down that a call reached an upstream once more, without a credit for it.
+    /// Charges a request that was sent to an upstream without a credit of its own, such as a retry.
     pub fn charge(&mut self, tenant: TenantId, now: Millis) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
             if !account.spend(now) {
@@ -315,15 +328,15 @@
         }
     }
 
-    /// Takes back the credit of a call that reached no upstream: another call may have it, for as
-    /// long as it would have lived.
+    /// Returns the credit of a call that reached no upstream. Another call may use it until it
+    /// expires.
     pub fn refund(&mut self, tenant: TenantId, now: Millis) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
             account.held += u32::from(now < account.held_until);
         }
     }
 
-    /// Gives up calls that wait and that nobody waits for any more.
+    /// Drops the waiting calls that are not `wanted` any more.
     pub fn retain(&mut self, wanted: impl Fn(&T) -> bool) {
         if self.waiting == 0 {
             return;
@@ -334,7 +347,7 @@
         self.waiting = self.accounts.values().map(|account| account.waiting.len()).sum();
     }
 
-    /// Gives back all calls that wait, because the process ends.
+    /// Removes and returns all waiting calls, because the process is stopping.
     pub fn take_waiting(&mut self) -> Vec<T> {
         let accounts = self.accounts.values_mut();
         let waiting = accounts.flat_map(|account| account.waiting.drain(..));
@@ -342,74 +355,76 @@
         waiting.map(|waiting| waiting.item).collect()
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Takes in whether any tenant has a limit: without one, coordinators are told nothing.
-    pub fn set_any_limit(&mut self, bounded: bool) {
-        self.bounded = bounded;
+    /// Sets whether any tenant has a limit; without one, no requests are sent to coordinators.
+    pub fn set_any_limit(&mut self, any_limit: bool) {
+        self.any_limit = any_limit;
     }
 
-    /// Takes in whether a coordinator can be asked at all.
+    /// Sets whether a coordinator is connected.
     pub fn set_linked(&mut self, linked: bool) {
         self.linked = linked;
     }
 
-    /// Whether this sidecar's part is its own: no coordinator may count it any more.
+    /// Whether this sidecar uses its own share, because no coordinator is connected and none may
+    /// count the share any more.
     pub fn is_standalone(&self, now: Millis) -> bool {
         !self.linked && now >= self.lent_until
     }
 
-    /// Whether a request was not answered in time: another coordinator may answer.
+    /// Whether a request was not answered in time, so that another coordinator should be asked.
     pub fn is_unanswered(&self, now: Millis) -> bool {
-        self.unanswered_since.is_some_and(|at| now >= at + self.longest_answer_ms())
+        self.unanswered_since.is_some_and(|at| now >= at + self.answer_timeout_ms())
     }
 
-    /// How long an answer may take.
-    fn longest_answer_ms(&self) -> Millis {
-        let times = (self.answer_ms * ANSWER_FACTOR) as Millis;
-        times.clamp(ANSWER_MS, LONGEST_WAIT_MS)
+    /// Time after which a request is repeated.
+    fn answer_timeout_ms(&self) -> Millis {
+        let timeout_ms = (self.mean_answer_ms * ANSWER_TIMEOUT_FACTOR) as Millis;
+        timeout_ms.clamp(MIN_ANSWER_TIMEOUT_MS, MAX_WAIT_MS)
     }
 
     fn wait_ms(&self) -> Millis {
-        let times = (self.answer_ms * ANSWER_FACTOR) as Millis;
-        times.clamp(WAIT_MS, LONGEST_WAIT_MS)
+        let wait_ms = (self.mean_answer_ms * ANSWER_TIMEOUT_FACTOR) as Millis;
+        wait_ms.clamp(WAIT_MS, MAX_WAIT_MS)
     }
 
-    /// Takes in that what was asked will not be answered: its link ended.
+    /// Discards the pending requests, because the link that they were sent on ended.
     pub fn link_lost(&mut self) {
         self.unanswered_since = None;
         for account in self.accounts.values_mut() {
-            account.in_flight.clear();
+            account.pending.clear();
         }
     }
 
-    /// What to send now, if anything, to the coordinator that the runtime would ask. This sidecar's
-    /// part is lent to it, unless another one may still count it.
+    /// Returns the request to send to coordinator `to` now, if any. It lends this sidecar's share to
+    /// that coordinator, unless another one may still count the share.
     pub fn request(&mut self, to: u64, now: Millis) -> Option<CreditRequest> {
-        if !self.linked || !self.bounded {
+        if !self.linked || !self.any_limit {
             return None;
         }
-        if self.last_request.is_some_and(|at| now < at + COLLECT_MS) {
+        if self.last_request.is_some_and(|at| now < at + MIN_REQUEST_INTERVAL_MS) {
             return None;
         }
-        let times = Times { answer_ms: self.answer_ms, longest_ms: self.longest_answer_ms() };
+        let times =
+            AnswerTimes { mean_ms: self.mean_answer_ms, timeout_ms: self.answer_timeout_ms() };
         let mut asks = Vec::new();
-        if self.looked_at.is_none_or(|at| now >= at + LOOK_MS) {
-            self.looked_at = Some(now);
+        if self.scanned_at.is_none_or(|at| now >= at + SCAN_INTERVAL_MS) {
+            self.scanned_at = Some(now);
             for (tenant, account) in &mut self.accounts {
-                asks.extend(ask_of(*tenant, account, times, now));
+                asks.extend(next_ask(*tenant, account, times, now));
             }
         } else {
-            for tenant in &self.busy {
+            for tenant in &self.tenants_waiting {
                 let account = self.accounts.get_mut(tenant);
-                asks.extend(account.and_then(|account| ask_of(*tenant, account, times, now)));
+                asks.extend(account.and_then(|account| next_ask(*tenant, account, times, now)));
             }
         }
-        let quiet = self.last_request.is_some_and(|at| now < at + REQUEST_INTERVAL_MS);
-        if asks.is_empty() && quiet {
+        let interval_running = self.last_request.is_some_and(|at| now < at + REQUEST_INTERVAL_MS);
+        if asks.is_empty() && interval_running {
             return None;
         }
         self.unanswered_since.get_or_insert(now);
@@ -422,12 +437,12 @@
         Some(CreditRequest { asked_at: now, lends, asks })
     }
 
-    /// Takes in an answer.
+    /// Applies an answer of a coordinator.
     pub fn handle_answer(&mut self, answer: CreditAnswer, now: Millis) {
         let CreditAnswer { asked_at, nodes, grants } = answer;
-        let took_ms = now.saturating_sub(asked_at) as f64;
-        self.answer_ms += (took_ms - self.answer_ms) * ANSWER_WEIGHT;
-        // Whatever was asked before is lost or comes late.
+        let elapsed_ms = now.saturating_sub(asked_at) as f64;
+        self.mean_answer_ms += (elapsed_ms - self.mean_answer_ms) * ANSWER_TIME_WEIGHT;
+        // The answers to earlier requests are lost or late.
         let newer = self.last_request.filter(|at| *at > asked_at);
         if self.unanswered_since.is_some_and(|since| since <= asked_at) {
             self.unanswered_since = newer;
@@ -437,42 +452,42 @@
         }
         for grant in grants {
             if let Some(account) = self.accounts.get_mut(&grant.tenant) {
-                take_grant(account, grant, asked_at, now);
+                apply_grant(account, grant, asked_at, now);
             }
         }
     }
 
-    /// Gives back the calls that need not wait any more.
+    /// Removes and returns the calls whose wait is over, with their outcomes.
     pub fn settle(&mut self, now: Millis) -> Vec<(T, Outcome)> {
-        let alone = self.is_standalone(now);
-        let own = Alone { nodes: self.nodes, since: self.lent_until };
-        let Gate { accounts, busy, waiting, random, counts, .. } = self;
+        let is_standalone = self.is_standalone(now);
+        let standalone = Standalone { nodes: self.nodes, since: self.lent_until };
+        let Gate { accounts, tenants_waiting, waiting, random, counts, .. } = self;
         let mut settled = Vec::new();
-        busy.retain(|tenant| {
+        tenants_waiting.retain(|tenant| {
             let Some(account) = accounts.get_mut(tenant) else {
                 return false;
             };
             while let Some(first) = account.waiting.front() {
                 let until = first.until;
-                let empty = account.empty.filter(|empty| until < empty.retry_at);
+                let shortage = account.shortage.filter(|shortage| until < shortage.retry_at);
                 let outcome = if !account.limit.is_bounded() {
                     Outcome::Admitted
                 } else if account.spend(now) {
                     counts.waited += 1;
                     Outcome::Admitted
-                } else if alone {
+                } else if is_standalone {
                     counts.alone += 1;
-                    alone_outcome(account, own, random, now)
-                } else if empty.is_some() {
+                    standalone_outcome(account, standalone, random, now)
+                } else if shortage.is_some() {
                     counts.refused += 1;
-                    Outcome::Refused(refusal(account.empty, now))
+                    Outcome::Refused(refusal(account.shortage, now))
                 } else if now >= until {
                     counts.unanswered += 1;
-                    Outcome::Refused(refusal(account.empty, now))
+                    Outcome::Refused(refusal(account.shortage, now))
                 } else {
                     break;
                 };
-                let Some(Waiting { item, .. }) = account.waiting.pop_front() else {
+                let Some(WaitingCall { item, .. }) = account.waiting.pop_front() else {
                     break;
                 };
                 settled.push((item, outcome));
@@ -483,74 +498,74 @@
         settled
     }
 
-    /// Forgets tenants that send nothing.
+    /// Removes tenants that have had no calls recently.
     pub fn expire(&mut self, now: Millis) {
         self.accounts.retain(|_, account| {
-            let busy = !account.waiting.is_empty() || account.debt > 0;
-            busy || now < account.calls_at + IDLE_MS
+            let in_use = !account.waiting.is_empty() || account.debt > 0;
+            in_use || now < account.recent_calls_at + IDLE_TENANT_MS
         });
     }
 
-    /// When [`Self::settle`] and [`Self::request`] have something to do though nothing comes.
+    /// Next time at which [`Self::settle`] or [`Self::request`] has to be called without an event.
     pub fn next_tick(&self, now: Millis) -> Option<Millis> {
-        let longest_ms = self.longest_answer_ms();
-        let may_ask = self.linked && self.bounded;
-        let collected = self.last_request.map_or(0, |at| at + COLLECT_MS);
-        let waiting = self.busy.iter().filter_map(|tenant| self.accounts.get(tenant));
+        let timeout_ms = self.answer_timeout_ms();
+        let may_request = self.linked && self.any_limit;
+        let next_request_at = self.last_request.map_or(0, |at| at + MIN_REQUEST_INTERVAL_MS);
+        let waiting = self.tenants_waiting.iter().filter_map(|tenant| self.accounts.get(tenant));
         let due = waiting.filter_map(|account| {
             let first = account.waiting.front()?;
-            let ask_at = match account.unasked(longest_ms, now) {
-                0 => account.in_flight.back().map_or(0, |asked| asked.asked_at + longest_ms),
-                _ => account.ask_at,
+            let ask_at = match account.unrequested(timeout_ms, now) {
+                0 => account.pending.back().map_or(0, |ask| ask.asked_at + timeout_ms),
+                _ => account.next_ask_at,
             };
-            let ask_at = may_ask.then_some(ask_at.max(collected));
+            let ask_at = may_request.then_some(ask_at.max(next_request_at));
             Some(ask_at.map_or(first.until, |at| at.min(first.until)))
         });
         due.min()
     }
 }
 
-/// How long answers take.
+/// Measured answer time, and the timeout derived from it.
 #[derive(Clone, Copy)]
-struct Times {
-    answer_ms: f64,
-    longest_ms: Millis,
+struct AnswerTimes {
+    mean_ms: f64,
+    timeout_ms: Millis,
 }
 
-fn ask_of<T>(
+fn next_ask<T>(
     tenant: TenantId,
     account: &mut Account<T>,
-    times: Times,
+    times: AnswerTimes,
     now: Millis,
 ) -> Option<CreditAsk> {
-    while account.in_flight.front().is_some_and(|asked| now >= asked.asked_at + LEASE_MS) {
-        account.in_flight.pop_front();
+    while account.pending.front().is_some_and(|ask| now >= ask.asked_at + LEASE_MS) {
+        account.pending.pop_front();
     }
     if now >= account.held_until {
         account.held = 0;
     }
-    let may_ask = now >= account.ask_at;
-    let need = if may_ask { account.unasked(times.longest_ms, now) } else { 0 };
-    let ahead_due = now >= account.ahead_at + AHEAD_INTERVAL_MS;
-    let ahead = if need > 0 || ahead_due { account.ahead(times.answer_ms, now) } else { 0 };
-    let told = need > 0 || ahead_due && (ahead > 0 || account.debt > 0);
-    if !told {
+    let may_ask = now >= account.next_ask_at;
+    let need = if may_ask { account.unrequested(times.timeout_ms, now) } else { 0 };
+    let prefetch_due = now >= account.last_ask_at + PREFETCH_INTERVAL_MS;
+    let ahead = if need > 0 || prefetch_due { account.prefetch(times.mean_ms, now) } else { 0 };
+    let send = need > 0 || prefetch_due && (ahead > 0 || account.debt > 0);
+    if !send {
         return None;
     }
-    account.ahead_at = now;
-    let cut = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
-    let kept = cut(account.held + account.ahead_in_flight());
-    let debt = cut(std::mem::take(&mut account.debt));
-    let refused = cut(std::mem::take(&mut account.refused));
-    let (need, ahead) = (cut(need), cut(ahead));
-    account.in_flight.push_back(InFlight { asked_at: now, need, ahead });
+    account.last_ask_at = now;
+    let saturated = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
+    let kept = saturated(account.held + account.pending_prefetch());
+    let debt = saturated(std::mem::take(&mut account.debt));
+    let refused = saturated(std::mem::take(&mut account.refused));
+    let (need, ahead) = (saturated(need), saturated(ahead));
+    account.pending.push_back(PendingAsk { asked_at: now, need, ahead });
     Some(CreditAsk { tenant, need, ahead, kept, debt, refused })
 }
 
-fn take_grant<T>(account: &mut Account<T>, grant: CreditGrant, asked_at: Millis, now: Millis) {
+fn apply_grant<T>(account: &mut Account<T>, grant: CreditGrant, asked_at: Millis, now: Millis) {
     let CreditGrant { granted, ahead, retry_ms, pulling, .. } = grant;
-    let newest = account.in_flight.back().is_none_or(|asked| asked.asked_at <= asked_at);
-    account.in_flight.retain(|asked| asked.asked_at != asked_at);
+    let newest = account.pending.back().is_none_or(|ask| ask.asked_at <= asked_at);
+    account.pending.retain(|ask| ask.asked_at != asked_at);
     if now < asked_at + LEASE_MS {
         account.held += u32::from(granted) + u32::from(ahead);
         account.held_until = account.held_until.max(asked_at + LEASE_MS);
@@ -559,53 +574,56 @@
         return;
     }
     let retry_at = now + Millis::from(retry_ms);
-    account.ask_at = retry_at;
-    let lacking = account.waiting.len() > account.held as usize;
-    account.empty = (lacking && !pulling).then_some(Empty { retry_at, told_at: now });
-    if !lacking {
-        account.ask_at = now;
+    account.next_ask_at = retry_at;
+    let credit_missing = account.waiting.len() > account.held as usize;
+    account.shortage =
+        (credit_missing && !pulling).then_some(Shortage { retry_at, reported_at: now });
+    if !credit_missing {
+        account.next_ask_at = now;
     }
 }
 
-/// Since when this node counts on nobody, and among how many quotas are divided.
+/// Since when this node has used its own share, and among how many nodes quotas are divided.
 #[derive(Clone, Copy)]
-struct Alone {
+struct Standalone {
     nodes: u32,
     since: Millis,
 }
 
-/// Decides by this node's own part of the bucket. A part of a small tenant is less than one request:
-/// then chance decides, so that all nodes together let on what the whole bucket allows.
-fn alone_outcome<T>(
+/// Decides by this node's own share of the bucket. The share of a small tenant's bucket is less than
+/// one request; calls are then admitted at random, so that all nodes together admit what the whole
+/// bucket allows.
+fn standalone_outcome<T>(
     account: &mut Account<T>,
-    alone: Alone,
+    standalone: Standalone,
     random: &mut fastrand::Rng,
     now: Millis,
 ) -> Outcome {
-    let Alone { nodes, since } = alone;
-    let part = if nodes == 0 { 0.0 } else { 1.0 / f64::from(nodes) };
-    let refill = account.limit.refill_per_s() * part;
-    let depth = account.limit.burst as f64 * part;
-    let anew = OwnPart { level: 0.0, at: since };
-    let mut own = account.own.filter(|own| own.at >= since).unwrap_or(anew);
-    let passed = now.saturating_sub(own.at) as f64 / 1_000.0;
-    own.level = (own.level + passed * refill).min(depth.max(refill));
-    own.at = now;
-    let chance = own.level.min(1.0);
-    own.level -= chance;
-    account.own = Some(own);
-    if random.f64() < chance {
+    let Standalone { nodes, since } = standalone;
+    let share = if nodes == 0 { 0.0 } else { 1.0 / f64::from(nodes) };
+    let refill = account.limit.refill_per_s() * share;
+    let depth = account.limit.burst as f64 * share;
+    let initial = OwnBucket { level: 0.0, updated_at: since };
+    let mut bucket =
+        account.own_bucket.filter(|bucket| bucket.updated_at >= since).unwrap_or(initial);
+    let elapsed = now.saturating_sub(bucket.updated_at) as f64 / 1_000.0;
+    bucket.level = (bucket.level + elapsed * refill).min(depth.max(refill));
+    bucket.updated_at = now;
+    let probability = bucket.level.min(1.0);
+    bucket.level -= probability;
+    account.own_bucket = Some(bucket);
+    if random.f64() < probability {
         return Outcome::Admitted;
     }
     let wait_ms = 1_000.0 / refill.max(1e-6);
-    let retry_after_ms = (wait_ms as Millis).min(LONGEST_RETRY_MS);
+    let retry_after_ms = (wait_ms as Millis).min(MAX_RETRY_MS);
     Outcome::Refused(Refusal { retry_after_ms, told_ms_ago: None })
 }
 
-fn refusal(empty: Option<Empty>, now: Millis) -> Refusal {
-    let Some(Empty { retry_at, told_at }) = empty else {
+fn refusal(shortage: Option<Shortage>, now: Millis) -> Refusal {
+    let Some(Shortage { retry_at, reported_at }) = shortage else {
         return Refusal { retry_after_ms: UNANSWERED_RETRY_MS, told_ms_ago: None };
     };
-    let retry_after_ms = retry_at.saturating_sub(now).clamp(1, LONGEST_RETRY_MS);
-    Refusal { retry_after_ms, told_ms_ago: Some(now.saturating_sub(told_at)) }
+    let retry_after_ms = retry_at.saturating_sub(now).clamp(1, MAX_RETRY_MS);
+    Refusal { retry_after_ms, told_ms_ago: Some(now.saturating_sub(reported_at)) }
 }
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,66 +1,68 @@
-//! What a tenant may send.
+//! The rate limit of a tenant.
 
 use mesh::TenantId;
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// The rate is promised over windows of this length, milliseconds.
+/// Length of the windows over which the rate is guaranteed, milliseconds.
 pub const WINDOW_MS: u64 = 5_000;
-/// Least depth of a bucket as a part of its rate, seconds: credit that is on its way between nodes
-/// for some ten milliseconds must fit.
-const LEAST_DEPTH_S: f64 = 0.2;
-/// How much deeper than the burst a bucket is, in square roots of the rate a second. Calls that come
-/// at random, some of them two at once, exceed their mean by that much in one of some ten thousand
-/// cases, so a bucket as deep as a small burst refuses calls of tenants far below their rate.
-const RANDOM_DEPTH: f64 = 6.0;
-/// The same as a part of what the rate allows in a window, at most.
-const MOST_RANDOM_DEPTH: f64 = 0.5;
+/// Minimum depth of a bucket, in seconds of its rate: credit in transit between nodes, for some ten
+/// milliseconds, must fit.
+const MIN_DEPTH_S: f64 = 0.2;
+/// Depth of a bucket in excess of the burst, in square roots of the rate per second. Calls that
+/// arrive at random, some of them in pairs, exceed their mean by this much in about one of ten
+/// thousand cases, so a bucket only as deep as a small burst would refuse calls of tenants far
+/// below their rate.
+const EXTRA_DEPTH_PER_SQRT_RATE: f64 = 6.0;
+/// Maximum of that excess, as a fraction of what the rate allows in a window.
+const MAX_EXTRA_DEPTH: f64 = 0.5;
 
-/// Names a tenant in frames.
+/// Identifies a tenant in frames by a hash of its name.
 pub fn tenant_id(name: &str) -> TenantId {
-    // One key for all nodes: the id is no secret, and operators, not callers, choose names.
+    // All nodes use the same fixed key: the id is no secret, and operators, not callers, choose the
+    // names.
     let mut hasher = SipHasher24::new();
     hasher.write(name.as_bytes());
     TenantId(hasher.finish())
 }
 
-/// Rate and burst of a tenant over all nodes together.
+/// Rate and burst of a tenant, for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// Requests, thousandths a second; 0 means no limit.
+    /// Thousandths of a request per second; 0 means no limit.
     pub rate_milli: u64,
-    /// Requests at once on top.
+    /// Requests that may be sent at once in addition.
     pub burst: u64,
 }
 
 impl Limit {
-    /// Whether there is a limit at all.
+    /// Whether requests are limited at all.
     pub fn is_bounded(&self) -> bool {
         self.rate_milli > 0
     }
 
-    /// Depth of the bucket, requests. It may be deeper than the burst, because what is let on in a
-    /// window is bounded by [`Self::in_window`] beside.
+    /// Depth of the bucket, requests. It may exceed the burst, because [`Self::max_in_window`]
+    /// separately bounds the requests admitted in a window.
     pub fn depth(&self) -> f64 {
         (self.burst as f64 + self.extra_depth()).max(1.0)
     }
 
-    /// How much deeper the bucket is than the burst, requests.
+    /// Depth of the bucket in excess of the burst, requests.
     pub fn extra_depth(&self) -> f64 {
         let rate = self.rate();
-        let random = RANDOM_DEPTH * rate.sqrt();
-        let most = rate * WINDOW_MS as f64 / 1_000.0 * MOST_RANDOM_DEPTH;
-        let least = rate * LEAST_DEPTH_S - self.burst as f64;
-        random.min(most).max(least)
+        let random = EXTRA_DEPTH_PER_SQRT_RATE * rate.sqrt();
+        let max = rate * WINDOW_MS as f64 / 1_000.0 * MAX_EXTRA_DEPTH;
+        let min = rate * MIN_DEPTH_S - self.burst as f64;
+        random.min(max).max(min)
     }
 
-    /// Requests a second by which the bucket refills.
+    /// Refill rate of the bucket, requests per second.
     pub fn refill_per_s(&self) -> f64 {
         self.rate()
     }
 
-    /// Requests that may run in any window of [`WINDOW_MS`].
-    pub fn in_window(&self) -> f64 {
+    /// Maximum number of requests in any window of [`WINDOW_MS`].
+    pub fn max_in_window(&self) -> f64 {
         (self.rate() * WINDOW_MS as f64 / 1_000.0 + self.burst as f64).max(1.0)
     }
 
@@ -68,7 +70,7 @@
         self.rate_milli as f64 / 1_000.0
     }
 
-    /// Whether this one allows less than another.
+    /// Whether this limit is lower than `other` in rate or burst.
     pub fn is_below(&self, other: &Limit) -> bool {
         let bounded = self.is_bounded() && !other.is_bounded();
         bounded || self.rate_milli < other.rate_milli || self.burst < other.burst
--- a/crates/quota/src/pool.rs
+++ b/crates/quota/src/pool.rs
@@ -1,4 +1,4 @@
-//! One tenant's credit with one coordinator.
+//! One tenant's credit at one coordinator.
 
 use crate::limit::{Limit, WINDOW_MS};
 use crate::window::Window;
@@ -6,196 +6,208 @@
 use mesh::{CreditAsk, CreditGrant, NodeAddress};
 use std::collections::BTreeMap;
 
-/// Time in which calls that found no credit show that there is none to spare, milliseconds.
-const SCARCE_MS: Millis = 100;
-/// Time over which calls that found no credit are counted for the time to come back, milliseconds.
-const UNMET_MS: f64 = 1_000.0;
-/// Longest time to come back, milliseconds.
-const LONGEST_RETRY_MS: f64 = 2_000.0;
-const SHORTEST_RETRY_MS: f64 = 5.0;
-/// Credit is given ahead only while the pool holds more than this part of its depth.
-const AHEAD_ABOVE: f64 = 0.5;
-/// Credit is pulled for calls of this time beside those that wait, milliseconds: two pulls.
-const PULL_AHEAD_MS: f64 = 20.0;
-/// Rounding of sums of thousandths.
-const TINY: f64 = 1e-6;
-
-/// Credit that a sidecar holds.
+/// Time after a call found no credit during which the pool has none to spare for other
+/// coordinators, milliseconds.
+const SCARCITY_MS: Millis = 100;
+/// Decay time of the count of calls that found no credit, from which retry times are computed,
+/// milliseconds.
+const UNMET_DECAY_MS: f64 = 1_000.0;
+/// Maximum retry time, milliseconds.
+const MAX_RETRY_MS: f64 = 2_000.0;
+/// Minimum retry time, milliseconds.
+const MIN_RETRY_MS: f64 = 5.0;
+/// Credit is prefetched only while the pool is filled above this fraction of its depth.
+const PREFETCH_MIN_LEVEL: f64 = 0.5;
+/// In addition to waiting calls, credit is pulled for the calls expected in this time,
+/// milliseconds: two pull intervals.
+const PULL_LOOKAHEAD_MS: f64 = 20.0;
+/// Tolerance for rounding errors in sums of thousandths.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+/// Credit held by a sidecar.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldCredit {
     amount: f64,
     until: Millis,
 }
 
-/// What a pool holds that is made when it is first asked.
+/// Content of a pool that is created on its first request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Filled {
-    /// Part of the bucket that is full.
-    pub part: f64,
-    /// Time for which the rest came in, milliseconds.
-    pub for_ms: Millis,
+pub(crate) struct InitialFill {
+    /// Share of the bucket that is full.
+    pub full_share: f64,
+    /// Time for which the remaining share has been refilled, milliseconds.
+    pub refilled_for_ms: Millis,
 }
 
-/// A part of a token bucket, refilled over time and given out in whole requests.
+/// A share of a token bucket, which refills over time and grants whole requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     limit: Limit,
-    part: f64,
+    share: f64,
     level: f64,
-    at: Millis,
-    held: BTreeMap<NodeAddress, Held>,
-    /// What was given out of late.
+    advanced_at: Millis,
+    held: BTreeMap<NodeAddress, HeldCredit>,
+    /// Credit granted in the last window.
     window: Window,
-    /// Calls that found no credit, decaying.
+    /// Decayed count of calls that found no credit.
     unmet: f64,
     unmet_at: Millis,
-    /// When a call last found none.
-    lacked_at: Option<Millis>,
-    pub last_asked: Millis,
+    /// When a call last found no credit.
+    last_shortage: Option<Millis>,
+    pub last_request: Millis,
     pub pulled_at: Millis,
     pub granted: u64,
     pub refused: u64,
 }
 
 impl Pool {
-    /// A pool that is made now and holds what has come in, as far as that is sure.
-    pub fn new(limit: Limit, part: f64, filled: Filled, now: Millis) -> Self {
-        let refilled = limit.refill_per_s() * part * filled.for_ms as f64 / 1_000.0;
-        let level = limit.depth() * filled.part + refilled;
+    /// Creates a pool with the credit that has certainly been refilled.
+    pub fn new(limit: Limit, share: f64, fill: InitialFill, now: Millis) -> Self {
+        let refilled = limit.refill_per_s() * share * fill.refilled_for_ms as f64 / 1_000.0;
+        let level = limit.depth() * fill.full_share + refilled;
         let mut window = Window::default();
-        if filled.for_ms < WINDOW_MS {
-            window.add((part - filled.part).max(0.0) * limit.extra_depth(), now);
+        if fill.refilled_for_ms < WINDOW_MS {
+            window.add((share - fill.full_share).max(0.0) * limit.extra_depth(), now);
         }
         Pool {
             limit,
-            part,
-            level: level.min(limit.depth() * part),
-            at: now,
+            share,
+            level: level.min(limit.depth() * share),
+            advanced_at: now,
             held: BTreeMap::new(),
             window,
             unmet: 0.0,
             unmet_at: now,
-            lacked_at: None,
-            last_asked: now,
+            last_shortage: None,
+            last_request: now,
             pulled_at: 0,
             granted: 0,
             refused: 0,
         }
     }
 
-    /// Requests that fit. A whole one does, also where a part of the bucket is less.
+    /// Depth of the pool, requests; at least one whole request, even if the share of the bucket is
+    /// smaller.
     fn depth(&self) -> f64 {
-        (self.limit.depth() * self.part).max(1.0)
+        (self.limit.depth() * self.share).max(1.0)
     }
 
     fn refill_per_s(&self) -> f64 {
-        self.limit.refill_per_s() * self.part
+        self.limit.refill_per_s() * self.share
     }
 
-    /// Room for more, next to what is here and what sidecars hold.
-    fn room(&self) -> f64 {
+    /// Depth not taken up by the credit here and at sidecars.
+    fn free_capacity(&self) -> f64 {
         let held: f64 = self.held.values().map(|held| held.amount).sum();
         (self.depth() - held - self.level).max(0.0)
     }
 
-    /// Takes in what the time brought, with what limit and part are from now on.
-    pub fn advance(&mut self, limit: Limit, part: f64, now: Millis) {
-        let passed_ms = now.saturating_sub(self.at) as f64;
-        let refilled = self.refill_per_s() * passed_ms / 1_000.0;
+    /// Refills the pool up to `now`, and applies the limit and the share from then on.
+    pub fn advance(&mut self, limit: Limit, share: f64, now: Millis) {
+        let elapsed_ms = now.saturating_sub(self.advanced_at) as f64;
+        let refilled = self.refill_per_s() * elapsed_ms / 1_000.0;
         self.held.retain(|_, held| now < held.until);
-        self.level += refilled.min(self.room());
-        self.at = now;
+        self.level += refilled.min(self.free_capacity());
+        self.advanced_at = now;
         self.window.expire(now);
-        if (self.limit, self.part) != (limit, part) {
-            // What came with more parts may have been spent where it was.
-            self.window.add((part - self.part).max(0.0) * limit.extra_depth(), now);
-            // What ran under the former limit was allowed: it takes as large a part of the new one.
-            self.window.scale((limit.in_window() / self.limit.in_window()).min(1.0));
-            (self.limit, self.part) = (limit, part);
+        if (self.limit, self.share) != (limit, share) {
+            // The credit of an added share may already have been spent at its previous pool.
+            self.window.add((share - self.share).max(0.0) * limit.extra_depth(), now);
+            // Grants under the previous limit were allowed: they take up the same fraction of a
+            // lower limit.
+            self.window.scale((limit.max_in_window() / self.limit.max_in_window()).min(1.0));
+            (self.limit, self.share) = (limit, share);
             let held: f64 = self.held.values().map(|held| held.amount).sum();
             self.level = self.level.min((self.depth() - held).max(0.0));
         }
-        let decay = now.saturating_sub(self.unmet_at) as f64 / UNMET_MS;
+        let decay = now.saturating_sub(self.unmet_at) as f64 / UNMET_DECAY_MS;
         self.unmet *= (-decay).exp();
         self.unmet_at = now;
     }
 
-    /// Requests that may be given now.
+    /// Requests that may be granted now.
     pub fn available(&self) -> f64 {
-        let in_window = (self.limit.in_window() * self.part).max(1.0) - self.window.sum();
+        let in_window = (self.limit.max_in_window() * self.share).max(1.0) - self.window.sum();
         self.level.min(in_window)
     }
 
-    /// Answers a sidecar; call [`Self::advance`] first.
+    /// Answers a sidecar; requires a preceding call of [`Self::advance`].
     pub fn answer(&mut self, node: NodeAddress, ask: CreditAsk, now: Millis) -> CreditGrant {
-        self.last_asked = now;
-        self.take(f64::from(ask.debt), now);
-        let spare = (self.available() + TINY).floor().clamp(0.0, f64::from(u16::MAX));
+        self.last_request = now;
+        self.debit(f64::from(ask.debt), now);
+        let spare = (self.available() + ROUNDING_TOLERANCE).floor().clamp(0.0, f64::from(u16::MAX));
         let granted = ask.need.min(spare as u16);
-        self.take(f64::from(granted), now);
-        let ahead = self.ahead(ask.ahead);
-        // It may be spent as late as its lease ends.
-        self.take(f64::from(ahead), now + LEASE_MS);
+        self.debit(f64::from(granted), now);
+        let ahead = self.prefetch(ask.ahead);
+        // Prefetched credit may be spent as late as the end of its lease.
+        self.debit(f64::from(ahead), now + LEASE_MS);
         let amount = f64::from(ask.kept) + f64::from(ahead);
         self.held.remove(&node);
         if amount > 0.0 {
-            self.held.insert(node, Held { amount, until: now + LEASE_MS });
+            self.held.insert(node, HeldCredit { amount, until: now + LEASE_MS });
         }
-        let lacking = f64::from(ask.need - granted);
-        if lacking > 0.0 {
-            self.lacked_at = Some(now);
+        let missing = f64::from(ask.need - granted);
+        if missing > 0.0 {
+            self.last_shortage = Some(now);
         }
         self.granted += u64::from(granted) + u64::from(ahead);
         self.refused += u64::from(ask.need - granted) + u64::from(ask.refused);
-        self.unmet += lacking + f64::from(ask.refused);
+        self.unmet += missing + f64::from(ask.refused);
         let retry_ms = self.retry_ms(now);
         CreditGrant { tenant: ask.tenant, granted, ahead, retry_ms, pulling: false }
     }
 
-    fn take(&mut self, amount: f64, at: Millis) {
+    fn debit(&mut self, amount: f64, at: Millis) {
         self.level -= amount;
         self.window.add(amount, at);
     }
 
-    /// What is given ahead, so that the calls of others that come next still find something.
-    fn ahead(&self, wanted: u16) -> u16 {
-        let spare = (self.available() - self.depth() * AHEAD_ABOVE) / 2.0;
+    /// Credits to grant in advance, such that the next calls of other sidecars still find some.
+    fn prefetch(&self, wanted: u16) -> u16 {
+        let spare = (self.available() - self.depth() * PREFETCH_MIN_LEVEL) / 2.0;
         wanted.min(spare.clamp(0.0, f64::from(u16::MAX)) as u16)
     }
 
-    /// When a call that comes back is likely to find a credit.
+    /// Time after which a retried call is likely to find a credit.
     fn retry_ms(&self, now: Millis) -> u16 {
         let wanted = self.unmet.max(1.0);
-        let refilled_ms = (wanted - self.level) * 1_000.0 / self.refill_per_s().max(TINY);
-        let lacking = wanted - ((self.limit.in_window() * self.part).max(1.0) - self.window.sum());
-        let freed_ms = self.window.frees_in_ms(lacking, now) as f64;
-        refilled_ms.max(freed_ms).clamp(SHORTEST_RETRY_MS, LONGEST_RETRY_MS) as u16
+        let refilled_ms =
+            (wanted - self.level) * 1_000.0 / self.refill_per_s().max(ROUNDING_TOLERANCE);
+        let missing =
+            wanted - ((self.limit.max_in_window() * self.share).max(1.0) - self.window.sum());
+        let freed_ms = self.window.frees_in_ms(missing, now) as f64;
+        refilled_ms.max(freed_ms).clamp(MIN_RETRY_MS, MAX_RETRY_MS) as u16
     }
 
-    /// What is lacking for calls that wait and that are likely to come next, requests.
-    pub fn lacks(&self, waiting: u16) -> f64 {
-        let next = (self.unmet - f64::from(waiting)).max(0.0) * PULL_AHEAD_MS / UNMET_MS;
-        (f64::from(waiting) + next - self.available()).max(0.0)
+    /// Credit missing for waiting calls and for the calls expected next, requests.
+    pub fn missing(&self, waiting: u16) -> f64 {
+        let expected =
+            (self.unmet - f64::from(waiting)).max(0.0) * PULL_LOOKAHEAD_MS / UNMET_DECAY_MS;
+        (f64::from(waiting) + expected - self.available()).max(0.0)
     }
 
-    /// Takes out what another coordinator lacks; nothing where calls here found none a moment ago.
+    /// Removes and returns credit for another coordinator; none if a call here found no credit
+    /// recently.
     pub fn give(&mut self, wanted: f64, now: Millis) -> f64 {
-        let scarce = self.lacked_at.is_some_and(|at| now < at + SCARCE_MS);
+        let scarce = self.last_shortage.is_some_and(|at| now < at + SCARCITY_MS);
         let given = if scarce { 0.0 } else { wanted.min(self.available()).max(0.0) };
-        self.take(given, now);
+        self.debit(given, now);
         given
     }
 
-    /// Puts in what another coordinator took out. It was asked for calls that wait, so it may be
-    /// more than fits.
-    pub fn receive(&mut self, gift: f64, now: Millis) {
-        self.window.add(-gift, now);
-        self.level = (self.level + gift).min(self.depth().max(self.limit.depth()));
+    /// Adds credit that another coordinator removed from its pool. It was requested for waiting
+    /// calls, so it may exceed the depth of this pool.
+    pub fn receive(&mut self, amount: f64, now: Millis) {
+        self.window.add(-amount, now);
+        self.level = (self.level + amount).min(self.depth().max(self.limit.depth()));
     }
 
-    /// Whether nothing would be lost if it was made anew when it is asked next.
+    /// Whether the pool can be removed and recreated on the next request without losing credit.
     pub fn is_idle(&self, now: Millis) -> bool {
-        now > self.last_asked + 2 * LEASE_MS && self.room() <= TINY && self.held.is_empty()
+        now > self.last_request + 2 * LEASE_MS
+            && self.free_capacity() <= ROUNDING_TOLERANCE
+            && self.held.is_empty()
     }
 
     pub fn level(&self) -> f64 {
--- a/crates/quota/src/pools.rs
+++ b/crates/quota/src/pools.rs
@@ -1,133 +1,139 @@
-//! The coordinator's side: one pool a tenant, filled by the sidecars that lend their part.
+//! The coordinator's side: one pool per tenant, filled by the shares that sidecars lend.
 
 use crate::fleet::Fleet;
 use crate::limit::Limit;
-use crate::pool::{Filled, Pool};
+use crate::pool::{InitialFill, Pool};
 use crate::Millis;
 use mesh::{CreditAmount, CreditAnswer, CreditAsk, CreditGrant, CreditRequest};
 use mesh::{NodeAddress, TenantId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Time between two pulls for one tenant, milliseconds: a way there and back between zones.
+/// Minimum interval between two pulls for one tenant, milliseconds: a round trip between zones.
 const PULL_INTERVAL_MS: Millis = 10;
-/// A coordinator that could spare nothing for a tenant, or did not answer, is not asked for it for
-/// this long, milliseconds: a tenant above its limit everywhere is asked for ten times a second.
-const PULL_REST_MS: Millis = 100;
-/// Time in which calls wait for what another coordinator gives, milliseconds.
+/// Time for which a coordinator that had no credit to spare for a tenant, or did not answer, is not
+/// asked for it again, milliseconds: pulls for a tenant above its limit everywhere go to each
+/// coordinator ten times a second.
+const PULL_BACKOFF_MS: Millis = 100;
+/// Time for which calls wait for pulled credit, milliseconds.
 const PULL_WAIT_MS: u16 = 8;
-/// Retry time told for a tenant that is not known here, milliseconds: a configuration is on its way.
-const UNKNOWN_RETRY_MS: u16 = 50;
+/// Retry time for a tenant that is not known here yet, milliseconds: a configuration with it is
+/// being distributed.
+const UNKNOWN_TENANT_RETRY_MS: u16 = 50;
 
-/// A limit, and since when the tenant has one here.
+/// The limit of a tenant, and since when the tenant has been limited here.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownTenant {
     limit: Limit,
     since: Millis,
 }
 
-/// Parts that rise within this time of each other are one rise, milliseconds: longer than any bucket
-/// that is not much deeper than a window takes to fill.
-const RISE_MS: Millis = 10_000;
+/// Increases of the share within this time of each other count as one increase, milliseconds:
+/// longer than a bucket takes to fill that is not much deeper than a window.
+const INCREASE_MS: Millis = 10_000;
 
-/// The part that is here, and what it was before it rose.
+/// The share of all quotas at this coordinator, and its value before it increased.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
-    now: f64,
-    /// Before the last rises: what came with them may have been spent where it was.
+struct Share {
+    current: f64,
+    /// The share before the last increases; the credit of what they added may already have been
+    /// spent at its previous pool.
     before: f64,
-    rose_at: Millis,
+    increased_at: Millis,
 }
 
-impl Part {
-    fn set(&mut self, part: f64, now: Millis) {
-        if part > self.now {
-            let anew = now >= self.rose_at + RISE_MS;
-            self.before = if anew { self.now } else { self.before.min(self.now) };
-            self.rose_at = now;
+impl Share {
+    fn set(&mut self, share: f64, now: Millis) {
+        if share > self.current {
+            let separate = now >= self.increased_at + INCREASE_MS;
+            self.before = if separate { self.current } else { self.before.min(self.current) };
+            self.increased_at = now;
         }
-        self.before = self.before.min(part);
-        self.now = part;
+        self.before = self.before.min(share);
+        self.current = share;
     }
 
-    /// What a pool holds that nobody asked for a while.
-    fn filled(&self, since: Millis, now: Millis) -> Filled {
-        let part = if since < self.rose_at { self.before } else { 0.0 };
-        Filled { part, for_ms: now.saturating_sub(since.max(self.rose_at)) }
+    /// Content of a pool that has had no requests recently, for a tenant limited since `since`.
+    fn initial_fill(&self, since: Millis, now: Millis) -> InitialFill {
+        let full_share = if since < self.increased_at { self.before } else { 0.0 };
+        InitialFill {
+            full_share,
+            refilled_for_ms: now.saturating_sub(since.max(self.increased_at)),
+        }
     }
 }
 
-/// What one tenant used of late here.
+/// Recent use of one tenant's quota at this coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantUsage {
-    /// Which.
+    /// The tenant.
     pub tenant: TenantId,
-    /// Credits given since the pool was made.
+    /// Credits granted since the pool was created.
     pub granted: u64,
-    /// Credits asked for by calls that wait, and not there.
+    /// Credits that calls requested and did not get since then.
     pub refused: u64,
-    /// Credits that the pool holds.
+    /// Credits in the pool.
     pub level: f64,
-    /// Credits that may be given now.
+    /// Credits that may be granted now.
     pub available: f64,
 }
 
-/// What an event at the pools leads to.
+/// Messages to send in response to a credit request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolResponse {
     /// To the sidecar.
     pub answer: CreditAnswer,
-    /// What to ask of other coordinators.
+    /// To other coordinators, with the credit to request from each.
     pub pulls: Vec<(u64, Vec<CreditAmount>)>,
 }
 
 /// All pools of one coordinator.
 #[derive(Clone, Debug)]
 pub struct Pools {
-    /// Whose parts are here.
+    /// The sidecars and coordinators, and the shares lent to this one.
     pub fleet: Fleet,
-    part: Part,
-    known: HashMap<TenantId, Known>,
+    share: Share,
+    tenants: HashMap<TenantId, KnownTenant>,
     pools: BTreeMap<TenantId, Pool>,
     peers: Vec<u64>,
-    /// Which of them is asked next.
-    turn: usize,
-    /// Until when a coordinator is not asked for a tenant.
-    resting: HashMap<(u64, TenantId), Millis>,
+    /// Index of the peer to ask next, modulo their number.
+    next_peer: usize,
+    /// Times until which a peer is not asked for credit of a tenant.
+    backoffs: HashMap<(u64, TenantId), Millis>,
 }
 
 impl Pools {
-    /// The pools of a coordinator that starts now: all are empty. What an earlier life gave out is
-    /// spent, as far as anybody knows.
+    /// Creates the pools of a coordinator that starts now. All are empty, because a previous
+    /// process may have granted their credit.
     pub fn new(now: Millis) -> Self {
         Pools {
             fleet: Fleet::new(now),
-            part: Part { rose_at: now, ..Part::default() },
-            known: HashMap::new(),
+            share: Share { increased_at: now, ..Share::default() },
+            tenants: HashMap::new(),
             pools: BTreeMap::new(),
             peers: Vec::new(),
-            turn: 0,
-            resting: HashMap::new(),
+            next_peer: 0,
+            backoffs: HashMap::new(),
         }
     }
 
-    /// Puts the limits of a configuration in force. A tenant that is new has nothing yet; one that
-    /// stays keeps what its pool holds, cut to what fits.
+    /// Applies the limits of a configuration. A new tenant starts without credit; a remaining one
+    /// keeps the credit in its pool, up to the new depth.
     pub fn set_limits(&mut self, limits: impl Iterator<Item = (TenantId, Limit)>, now: Millis) {
-        let former = std::mem::take(&mut self.known);
-        let since = |tenant: &TenantId| former.get(tenant).map_or(now, |known| known.since);
+        let previous = std::mem::take(&mut self.tenants);
+        let since = |tenant: &TenantId| previous.get(tenant).map_or(now, |known| known.since);
         let bounded = limits.filter(|(_, limit)| limit.is_bounded());
-        self.known = bounded
-            .map(|(tenant, limit)| (tenant, Known { limit, since: since(&tenant) }))
+        self.tenants = bounded
+            .map(|(tenant, limit)| (tenant, KnownTenant { limit, since: since(&tenant) }))
             .collect();
-        let Pools { pools, known, part, .. } = self;
-        pools.retain(|tenant, _| known.contains_key(tenant));
+        let Pools { pools, tenants, share, .. } = self;
+        pools.retain(|tenant, _| tenants.contains_key(tenant));
         for (tenant, pool) in pools {
-            pool.advance(known[tenant].limit, part.now, now);
+            pool.advance(tenants[tenant].limit, share.current, now);
         }
     }
 
-    /// Does what is due several times a second: takes in which sidecars and coordinators there are,
-    /// and forgets pools that nobody uses.
+    /// Updates the listed sidecars, with whether each is stopping, and the other coordinators, and
+    /// removes idle pools. To be called several times a second.
     pub fn tick(
         &mut self,
         nodes: impl Iterator<Item = (NodeAddress, bool)>,
@@ -136,16 +142,16 @@
     ) {
         self.fleet.update_listed(nodes, peers.iter().copied(), now);
         self.peers = peers.to_vec();
-        self.part.set(self.fleet.share(now), now);
-        self.resting.retain(|_, until| now < *until);
-        let Pools { pools, known, part, .. } = self;
+        self.share.set(self.fleet.share(now), now);
+        self.backoffs.retain(|_, until| now < *until);
+        let Pools { pools, tenants, share, .. } = self;
         pools.retain(|tenant, pool| {
-            pool.advance(known[tenant].limit, part.now, now);
+            pool.advance(tenants[tenant].limit, share.current, now);
             !pool.is_idle(now)
         });
     }
 
-    /// Answers a sidecar.
+    /// Answers a credit request of a sidecar.
     pub fn request(
         &mut self,
         node: NodeAddress,
@@ -158,10 +164,10 @@
         for ask in request.asks {
             let mut grant = self.grant(node, ask, now);
             let waiting = ask.need - grant.granted;
-            if let Some((peer, lacks)) = self.pull(ask.tenant, waiting, now) {
+            if let Some((peer, missing)) = self.pull(ask.tenant, waiting, now) {
                 grant.pulling = true;
                 grant.retry_ms = PULL_WAIT_MS;
-                wanted.push((peer, lacks));
+                wanted.push((peer, missing));
             }
             grants.push(grant);
         }
@@ -171,77 +177,81 @@
     }
 
     fn grant(&mut self, node: NodeAddress, ask: CreditAsk, now: Millis) -> CreditGrant {
-        let part = self.part;
-        let Some(Known { limit, since }) = self.known.get(&ask.tenant).copied() else {
-            let (tenant, retry_ms) = (ask.tenant, UNKNOWN_RETRY_MS);
+        let share = self.share;
+        let Some(KnownTenant { limit, since }) = self.tenants.get(&ask.tenant).copied() else {
+            let (tenant, retry_ms) = (ask.tenant, UNKNOWN_TENANT_RETRY_MS);
             return CreditGrant { tenant, granted: 0, ahead: 0, retry_ms, pulling: false };
         };
-        let made = || Pool::new(limit, part.now, part.filled(since, now), now);
-        let pool = self.pools.entry(ask.tenant).or_insert_with(made);
-        pool.advance(limit, part.now, now);
+        let create = || Pool::new(limit, share.current, share.initial_fill(since, now), now);
+        let pool = self.pools.entry(ask.tenant).or_insert_with(create);
+        pool.advance(limit, share.current, now);
         pool.answer(node, ask, now)
     }
 
-    /// Which coordinator to ask for credit, and for how much.
+    /// The coordinator to pull credit from, and the amount, if `waiting` calls found none.
     fn pull(&mut self, tenant: TenantId, waiting: u16, now: Millis) -> Option<(u64, CreditAmount)> {
         let pool = self.pools.get_mut(&tenant)?;
         if waiting == 0 {
             return None;
         }
-        let under_way = now < pool.pulled_at + PULL_INTERVAL_MS && pool.pulled_at > 0;
-        let resting = &self.resting;
-        let rested = |peer: &&u64| resting.get(&(**peer, tenant)).is_none_or(|until| now >= *until);
+        let pulled_recently = now < pool.pulled_at + PULL_INTERVAL_MS && pool.pulled_at > 0;
+        let backoffs = &self.backoffs;
+        let may_ask =
+            |peer: &&u64| backoffs.get(&(**peer, tenant)).is_none_or(|until| now >= *until);
         let count = self.peers.len();
-        let in_turn = (0..count).map(|step| &self.peers[(self.turn + step) % count]);
-        let peer = *in_turn.into_iter().find(rested)?;
-        if under_way {
+        let in_turn = (0..count).map(|step| &self.peers[(self.next_peer + step) % count]);
+        let peer = *in_turn.into_iter().find(may_ask)?;
+        if pulled_recently {
             return None;
         }
         pool.pulled_at = now;
-        self.turn = self.turn.wrapping_add(1);
-        // Until it answers with something.
-        self.resting.insert((peer, tenant), now + PULL_REST_MS);
-        let milli = (pool.lacks(waiting) * 1_000.0).ceil() as u32;
+        self.next_peer = self.next_peer.wrapping_add(1);
+        // Removed once the peer transfers credit.
+        self.backoffs.insert((peer, tenant), now + PULL_BACKOFF_MS);
+        let milli = (pool.missing(waiting) * 1_000.0).ceil() as u32;
         Some((peer, CreditAmount { tenant, milli }))
     }
 
-    /// Gives another coordinator what can be spared.
-    pub fn give(&mut self, lacks: &[CreditAmount], now: Millis) -> Vec<CreditAmount> {
-        let mut gifts = Vec::new();
-        for CreditAmount { tenant, milli } in lacks.iter().copied() {
-            let Some(Known { limit, since }) = self.known.get(&tenant).copied() else {
+    /// Removes credit that can be spared for another coordinator from the pools.
+    pub fn give(&mut self, missing: &[CreditAmount], now: Millis) -> Vec<CreditAmount> {
+        let mut credits = Vec::new();
+        for CreditAmount { tenant, milli } in missing.iter().copied() {
+            let Some(KnownTenant { limit, since }) = self.tenants.get(&tenant).copied() else {
                 continue;
             };
-            let part = self.part;
-            let made = || Pool::new(limit, part.now, part.filled(since, now), now);
-            let pool = self.pools.entry(tenant).or_insert_with(made);
-            pool.advance(limit, part.now, now);
-            pool.last_asked = now;
+            let share = self.share;
+            let create = || Pool::new(limit, share.current, share.initial_fill(since, now), now);
+            let pool = self.pools.entry(tenant).or_insert_with(create);
+            pool.advance(limit, share.current, now);
+            pool.last_request = now;
             let given = pool.give(f64::from(milli) / 1_000.0, now);
-            gifts.push(CreditAmount { tenant, milli: (given * 1_000.0).floor() as u32 });
+            credits.push(CreditAmount { tenant, milli: (given * 1_000.0).floor() as u32 });
         }
-        gifts
+        credits
     }
 
-    /// Takes in what another coordinator gave.
-    pub fn receive(&mut self, peer: u64, gifts: &[CreditAmount], now: Millis) {
-        for CreditAmount { tenant, milli } in gifts.iter().copied().filter(|gift| gift.milli > 0) {
-            let (Some(known), Some(pool)) = (self.known.get(&tenant), self.pools.get_mut(&tenant))
+    /// Adds credit received from another coordinator to the pools.
+    pub fn receive(&mut self, peer: u64, credits: &[CreditAmount], now: Millis) {
+        for CreditAmount { tenant, milli } in
+            credits.iter().copied().filter(|credit| credit.milli > 0)
+        {
+            let (Some(known), Some(pool)) =
+                (self.tenants.get(&tenant), self.pools.get_mut(&tenant))
             else {
                 continue;
             };
-            pool.advance(known.limit, self.part.now, now);
+            pool.advance(known.limit, self.share.current, now);
             pool.receive(f64::from(milli) / 1_000.0, now);
-            self.resting.remove(&(peer, tenant));
+            self.backoffs.remove(&(peer, tenant));
         }
     }
 
-    /// Part of all quotas that is here, 0 to 1.
+    /// Share of all quotas at this coordinator, from 0 to 1.
     pub fn share(&self) -> f64 {
-        self.part.now
+        self.share.current
     }
 
-    /// What the tenants with a pool use.
+    /// Usage of the tenants that have a pool.
     pub fn usages(&self) -> impl Iterator<Item = TenantUsage> + '_ {
         self.pools.iter().map(|(tenant, pool)| TenantUsage {
             tenant: *tenant,
@@ -255,8 +265,8 @@
 
 fn by_peer(wanted: Vec<(u64, CreditAmount)>) -> Vec<(u64, Vec<CreditAmount>)> {
     let mut pulls: BTreeMap<u64, Vec<CreditAmount>> = BTreeMap::new();
-    for (peer, lacks) in wanted {
-        pulls.entry(peer).or_default().push(lacks);
+    for (peer, missing) in wanted {
+        pulls.entry(peer).or_default().push(missing);
     }
     pulls.into_iter().collect()
 }
--- a/crates/quota/src/window.rs
+++ b/crates/quota/src/window.rs
@@ -1,13 +1,14 @@
-//! What one pool gave out in the last window.
+//! Credits that one pool granted in the last window.
 
 use crate::limit::WINDOW_MS;
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// Amounts are added up over this time, milliseconds; each counts for up to that much longer.
+/// Width of the bins in which amounts are summed, milliseconds; an amount counts for up to this
+/// much longer than a window.
 const BIN_MS: Millis = 100;
 
-/// Amounts by the time at which they count.
+/// Sum of amounts over a sliding window, in bins of time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Window {
     bins: BTreeMap<Millis, f64>,
@@ -15,7 +16,8 @@
 }
 
 impl Window {
-    /// Adds what counts from a time on. What another pool gave counts against it.
+    /// Adds an amount that counts until a window after `at`, which may be in the future; negative
+    /// for credit received from another pool.
     pub fn add(&mut self, amount: f64, at: Millis) {
         if amount != 0.0 {
             *self.bins.entry(at / BIN_MS).or_default() += amount;
@@ -23,19 +25,19 @@
         }
     }
 
-    /// Forgets what is older than a window.
+    /// Removes amounts older than a window.
     pub fn expire(&mut self, now: Millis) {
         while let Some(first) = self.bins.first_entry() {
-            if now < leaves_at(*first.key()) {
+            if now < expires_at(*first.key()) {
                 return;
             }
             self.sum -= first.remove();
         }
-        // Nothing is left but the rounding of sums.
+        // Without bins, the sum consists of rounding errors only.
         self.sum = 0.0;
     }
 
-    /// Makes all amounts a part of what they were.
+    /// Multiplies all amounts by `factor`.
     pub fn scale(&mut self, factor: f64) {
         for amount in self.bins.values_mut() {
             *amount *= factor;
@@ -43,12 +45,12 @@
         self.sum *= factor;
     }
 
-    /// All that counts now.
+    /// Sum of all amounts that have not expired.
     pub fn sum(&self) -> f64 {
         self.sum
     }
 
-    /// Time until so much of it counts no more, milliseconds.
+    /// Time until at least `amount` of the sum has expired, milliseconds.
     pub fn frees_in_ms(&self, amount: f64, now: Millis) -> Millis {
         let mut freed = 0.0;
         for (bin, in_bin) in &self.bins {
@@ -57,7 +59,7 @@
             }
             freed += in_bin;
             if freed >= amount {
-                return leaves_at(*bin).saturating_sub(now);
+                return expires_at(*bin).saturating_sub(now);
             }
         }
         if amount <= 0.0 {
@@ -68,6 +70,6 @@
     }
 }
 
-fn leaves_at(bin: Millis) -> Millis {
+fn expires_at(bin: Millis) -> Millis {
     (bin + 1) * BIN_MS + WINDOW_MS
 }
