--- a/crates/quota/tests/bounds.rs
+++ b/crates/quota/tests/bounds.rs
@@ -1,8 +1,8 @@
-//! What a tenant sends in any window stays within its limit, whatever fails in whatever order.
+//! Requests of a tenant in any window stay within its limit under faults in any order.
 
 mod common;
 
-use common::{Broken, Demand, Fleet, Millis};
+use common::{Defect, Demand, Fleet, Millis};
 use quota::{Limit, WINDOW_MS};
 
 const SEEDS: u64 = 200;
@@ -13,18 +13,18 @@
     Limit { rate_milli: (rate * 1_000.0) as u64, burst }
 }
 
-fn demand(per_s: f64, clump: usize, zone: Option<usize>) -> Demand {
-    Demand { per_s, clump, zone }
+fn demand(per_s: f64, batch: usize, zone: Option<usize>) -> Demand {
+    Demand { per_s, batch, zone }
 }
 
-/// What the limit allows in a window, with one whole request for each coordinator whose part of a
-/// bucket is less.
+/// Requests that the limit allows in a window, plus one for each coordinator, because a pool grants a
+/// whole request even if its share of the bucket is smaller.
 fn allowed(limit: Limit) -> f64 {
     limit.rate_milli as f64 * WINDOW_MS as f64 / 1e6 + limit.burst as f64 + COORDINATORS as f64
 }
 
-/// What callers are promised: a tenth and twenty more.
-fn promised(limit: Limit) -> f64 {
+/// The guaranteed bound: a tenth and twenty requests above what the limit allows.
+fn guaranteed(limit: Limit) -> f64 {
     (allowed(limit) - COORDINATORS as f64) * 1.1 + 20.0
 }
 
@@ -37,8 +37,8 @@
     ]
 }
 
-/// Draws something that fails or comes back, or a change of demand.
-fn disturb(fleet: &mut Fleet, random: &mut fastrand::Rng) {
+/// Injects a random fault, recovery or change of demand.
+fn inject_random_event(fleet: &mut Fleet, random: &mut fastrand::Rng) {
     match random.u32(0..9) {
         0 => fleet.kill_coordinator(random.usize(0..COORDINATORS)),
         1 | 2 => fleet.start_coordinator(random.usize(0..COORDINATORS)),
@@ -58,14 +58,14 @@
         }
         _ => {
             let tenant = random.usize(0..4);
-            let usual = tenants()[tenant].1.clone();
-            let per_s = usual.per_s * random.f64() * 10.0;
-            fleet.set_demand(tenant, Demand { per_s, ..usual });
+            let base = tenants()[tenant].1.clone();
+            let per_s = base.per_s * random.f64() * 10.0;
+            fleet.set_demand(tenant, Demand { per_s, ..base });
         }
     }
 }
 
-fn all_power_lost(fleet: &mut Fleet) {
+fn kill_all(fleet: &mut Fleet) {
     for coordinator in 0..COORDINATORS {
         fleet.kill_coordinator(coordinator);
     }
@@ -74,7 +74,7 @@
     }
 }
 
-fn all_start(fleet: &mut Fleet) {
+fn start_all(fleet: &mut Fleet) {
     for coordinator in 0..COORDINATORS {
         fleet.start_coordinator(coordinator);
     }
@@ -83,26 +83,27 @@
     }
 }
 
-fn day(seed: u64, broken: Broken) -> Fleet {
-    let mut fleet = Fleet::new(seed, NODES, &tenants(), broken);
+fn simulate(seed: u64, defect: Defect) -> Fleet {
+    let mut fleet = Fleet::new(seed, NODES, &tenants(), defect);
     let mut random = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let mut at = 6_000;
     while at < 25_000 {
         fleet.run_until(at);
-        disturb(&mut fleet, &mut random);
+        inject_random_event(&mut fleet, &mut random);
         at += random.u64(100..2_500);
     }
     fleet.run_until(25_000);
     fleet
 }
 
-/// How far the worst window of any tenant is above what the limit allows, and above the promise.
-fn worst_excess(fleet: &Fleet) -> (f64, f64) {
+/// Maximum excess of any tenant in any window: relative to what the limit allows, and in requests
+/// above the guaranteed bound.
+fn max_excess(fleet: &Fleet) -> (f64, f64) {
     let mut worst = (f64::MIN, f64::MIN);
-    for (seen, limit) in fleet.seen.iter().zip(&fleet.limits) {
-        let most = seen.most_in_window(0) as f64;
-        worst.0 = worst.0.max((most - allowed(*limit)) / allowed(*limit));
-        worst.1 = worst.1.max(most - promised(*limit));
+    for (record, limit) in fleet.records.iter().zip(&fleet.limits) {
+        let count = record.max_in_window(0) as f64;
+        worst.0 = worst.0.max((count - allowed(*limit)) / allowed(*limit));
+        worst.1 = worst.1.max(count - guaranteed(*limit));
     }
     worst
 }
@@ -111,8 +112,8 @@
 fn faults_in_any_order_keep_every_window_within_the_limit() {
     let mut worst = (f64::MIN, 0);
     for seed in 0..SEEDS {
-        let (excess, over_promise) = worst_excess(&day(seed, Broken::Nothing));
-        assert!(over_promise <= 0.0, "seed {seed}: {over_promise} above the promise");
+        let (excess, over_guarantee) = max_excess(&simulate(seed, Defect::None));
+        assert!(over_guarantee <= 0.0, "seed {seed}: {over_guarantee} above the guaranteed bound");
         if excess > worst.0 {
             worst = (excess, seed);
         }
@@ -123,14 +124,15 @@
 
 #[test]
 fn credit_given_twice_is_noticed() {
-    let noticed = (0..5).filter(|seed| worst_excess(&day(*seed, Broken::SpentTwice)).1 > 0.0);
+    let noticed =
+        (0..5).filter(|seed| max_excess(&simulate(*seed, Defect::UndebitedGrants)).1 > 0.0);
     assert_eq!(noticed.count(), 5);
 }
 
-/// Coordinators that are killed and come back again and again, under a hot tenant.
-fn restarts(seed: u64, broken: Broken) -> Fleet {
-    let hot = [(limit(100.0, 1_000), demand(800.0, 1, None))];
-    let mut fleet = Fleet::new(seed, NODES, &hot, broken);
+/// Kills and restarts coordinators repeatedly while a tenant sends more than its limit.
+fn restart_coordinators(seed: u64, defect: Defect) -> Fleet {
+    let tenants_above_limit = [(limit(100.0, 1_000), demand(800.0, 1, None))];
+    let mut fleet = Fleet::new(seed, NODES, &tenants_above_limit, defect);
     for restart in 0..16 {
         fleet.run_until(6_000 + restart * 800);
         fleet.kill_coordinator((restart % 3) as usize);
@@ -144,104 +146,110 @@
 #[test]
 fn a_restart_brings_no_second_burst() {
     for seed in 0..20 {
-        let (excess, over_promise) = worst_excess(&restarts(seed, Broken::Nothing));
-        assert!(over_promise <= 0.0, "seed {seed}: {over_promise}");
+        let (excess, over_guarantee) = max_excess(&restart_coordinators(seed, Defect::None));
+        assert!(over_guarantee <= 0.0, "seed {seed}: {over_guarantee}");
         assert!(excess <= 0.05, "seed {seed}: {excess}");
-        assert!(worst_excess(&restarts(seed, Broken::RefilledBurst)).1 > 0.0, "seed {seed}");
+        assert!(
+            max_excess(&restart_coordinators(seed, Defect::FullAfterRestart)).1 > 0.0,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn all_power_lost_brings_no_second_burst_and_calls_are_let_on_soon() {
     for seed in 0..20 {
-        let hot = [(limit(100.0, 100), demand(400.0, 1, None))];
-        let mut fleet = Fleet::new(seed, NODES, &hot, Broken::Nothing);
+        let tenants_above_limit = [(limit(100.0, 100), demand(400.0, 1, None))];
+        let mut fleet = Fleet::new(seed, NODES, &tenants_above_limit, Defect::None);
         fleet.run_until(8_000);
-        all_power_lost(&mut fleet);
+        kill_all(&mut fleet);
         fleet.run_until(9_000);
-        all_start(&mut fleet);
+        start_all(&mut fleet);
         fleet.run_until(20_000);
-        let (excess, _) = worst_excess(&fleet);
+        let (excess, _) = max_excess(&fleet);
         assert!(excess <= 0.05, "seed {seed}: {excess}");
-        let first = fleet.seen[0].run_between(9_000..11_000);
+        let first = fleet.records[0].admitted_between(9_000..11_000);
         assert!(first >= 80, "seed {seed}: {first} in the first two seconds");
-        let then = fleet.seen[0].run_between(12_000..17_000);
-        assert!(then >= 450, "seed {seed}: {then} in five seconds");
+        let later = fleet.records[0].admitted_between(12_000..17_000);
+        assert!(later >= 450, "seed {seed}: {later} in five seconds");
     }
 }
 
-/// Runs in windows that begin when the lower limit has been in force for one.
-fn lowered(seed: u64, broken: Broken) -> (Fleet, usize) {
-    let hot = [(limit(200.0, 200), demand(400.0, 1, None))];
-    let mut fleet = Fleet::new(seed, NODES, &hot, broken);
+/// Lowers a limit at 8 s, which [`Defect::LateLimit`] applies at 16 s only. Returns the maximum number
+/// of requests in any window from 8 s on.
+fn lower_limit(seed: u64, defect: Defect) -> (Fleet, usize) {
+    let tenants_above_limit = [(limit(200.0, 200), demand(400.0, 1, None))];
+    let mut fleet = Fleet::new(seed, NODES, &tenants_above_limit, defect);
     fleet.run_until(8_000);
     fleet.set_limit(0, limit(20.0, 20));
-    if broken == Broken::LateLimit {
+    if defect == Defect::LateLimit {
         fleet.run_until(16_000);
         fleet.apply_limits();
     }
     fleet.run_until(25_000);
-    let in_window = fleet.seen[0].most_in_window(8_000);
+    let in_window = fleet.records[0].max_in_window(8_000);
     (fleet, in_window)
 }
 
 #[test]
 fn a_lowered_limit_holds_from_the_moment_it_is_in_force() {
     for seed in 0..20 {
-        let (fleet, in_window) = lowered(seed, Broken::Nothing);
+        let (fleet, in_window) = lower_limit(seed, Defect::None);
         assert!(in_window as f64 <= allowed(limit(20.0, 20)), "seed {seed}: {in_window}");
-        // And the tenant is not shut out for what it sent under the other one.
-        let then = fleet.seen[0].run_between(8_000..14_000);
-        assert!(then >= 60, "seed {seed}: {then}");
-        let (_, in_window) = lowered(seed, Broken::LateLimit);
-        assert!(in_window as f64 > promised(limit(20.0, 20)), "seed {seed}: {in_window}");
+        // Requests sent under the previous limit must not block the tenant.
+        let later = fleet.records[0].admitted_between(8_000..14_000);
+        assert!(later >= 60, "seed {seed}: {later}");
+        let (_, in_window) = lower_limit(seed, Defect::LateLimit);
+        assert!(in_window as f64 > guaranteed(limit(20.0, 20)), "seed {seed}: {in_window}");
     }
 }
 
 #[test]
 fn a_raised_limit_a_removed_one_and_a_tenant_made_anew() {
     let mut fleet =
-        Fleet::new(1, NODES, &[(limit(20.0, 20), demand(100.0, 1, None))], Broken::Nothing);
+        Fleet::new(1, NODES, &[(limit(20.0, 20), demand(100.0, 1, None))], Defect::None);
     fleet.run_until(10_000);
     fleet.set_limit(0, limit(60.0, 20));
     fleet.run_until(20_000);
-    let raised = fleet.seen[0].run_between(12_000..20_000);
+    let raised = fleet.records[0].admitted_between(12_000..20_000);
     assert!((450..=520).contains(&raised), "{raised}");
     fleet.set_limit(0, limit(0.0, 0));
     fleet.run_until(25_000);
-    assert_eq!(fleet.seen[0].refused_between(20_500..25_000), 0);
-    // Deleted and made anew: nothing to begin with.
+    assert_eq!(fleet.records[0].refused_between(20_500..25_000), 0);
+    // A tenant that is recreated starts without credit.
     fleet.set_limit(0, limit(20.0, 100));
     fleet.run_until(26_000);
-    let first = fleet.seen[0].run_between(25_010..26_000);
+    let first = fleet.records[0].admitted_between(25_010..26_000);
     assert!(first <= 25, "{first}");
 }
 
-/// A tenant at 0.9 of its limit while one coordinator is away.
-fn without_a_coordinator(seed: u64, broken: Broken) -> (f64, f64) {
+/// Kills one coordinator while a tenant sends 0.9 of its limit. Returns the fractions of calls admitted
+/// in the first two seconds and later.
+fn kill_a_coordinator(seed: u64, defect: Defect) -> (f64, f64) {
     let tenant = [(limit(100.0, 50), demand(90.0, 1, None))];
-    let mut fleet = Fleet::new(seed, NODES, &tenant, broken);
+    let mut fleet = Fleet::new(seed, NODES, &tenant, defect);
     fleet.run_until(8_000);
     fleet.kill_coordinator(0);
     fleet.run_until(20_000);
-    let seen = &fleet.seen[0];
-    let asked = |from: Millis, to: Millis| {
-        seen.asked.iter().filter(|at| (from..to).contains(at)).count() as f64
+    let record = &fleet.records[0];
+    let arrived = |from: Millis, to: Millis| {
+        record.arrived.iter().filter(|at| (from..to).contains(at)).count() as f64
     };
-    let part = |from: Millis, to: Millis| seen.run_between(from..to) as f64 / asked(from, to);
-    (part(8_000, 10_000), part(11_000, 20_000))
+    let fraction =
+        |from: Millis, to: Millis| record.admitted_between(from..to) as f64 / arrived(from, to);
+    (fraction(8_000, 10_000), fraction(11_000, 20_000))
 }
 
 #[test]
 fn the_part_of_a_dead_coordinators_sidecars_goes_to_the_others() {
     let mut sum = 0.0;
     for seed in 0..20 {
-        let (at_first, then) = without_a_coordinator(seed, Broken::Nothing);
+        let (at_first, later) = kill_a_coordinator(seed, Defect::None);
         sum += at_first;
         assert!(at_first > 0.75, "seed {seed}: {at_first}");
-        assert!(then > 0.97, "seed {seed}: {then}");
-        let (_, then) = without_a_coordinator(seed, Broken::LostPart);
-        assert!(then < 0.9, "seed {seed}: {then}");
+        assert!(later > 0.97, "seed {seed}: {later}");
+        let (_, later) = kill_a_coordinator(seed, Defect::LendsInZoneOnly);
+        assert!(later < 0.9, "seed {seed}: {later}");
     }
     assert!(sum / 20.0 > 0.95, "{}", sum / 20.0);
 }
@@ -249,16 +257,16 @@
 #[test]
 fn the_part_of_dead_sidecars_comes_back() {
     let mut fleet =
-        Fleet::new(1, NODES, &[(limit(100.0, 50), demand(90.0, 1, None))], Broken::Nothing);
+        Fleet::new(1, NODES, &[(limit(100.0, 50), demand(90.0, 1, None))], Defect::None);
     fleet.run_until(8_000);
     for node in 0..NODES / 2 {
         fleet.kill_sidecar(node);
     }
     fleet.run_until(80_000);
-    // They may be cut off and serve callers for a minute.
-    let early = fleet.seen[0].run_between(20_000..60_000) as f64 / 40.0;
+    // The dead sidecars may be partitioned and serving callers, so they count for a minute.
+    let early = fleet.records[0].admitted_between(20_000..60_000) as f64 / 40.0;
     assert!((45.0..=55.0).contains(&early), "{early}");
-    let late = fleet.seen[0].refused_between(71_000..80_000);
+    let late = fleet.records[0].refused_between(71_000..80_000);
     assert!(late <= 5, "{late} of some 800");
 }
 
@@ -266,35 +274,36 @@
 fn a_cut_zone_has_the_part_of_its_sidecars() {
     for seed in 0..20 {
         let tenant = [(limit(90.0, 30), demand(300.0, 1, None))];
-        let mut fleet = Fleet::new(seed, NODES, &tenant, Broken::Nothing);
+        let mut fleet = Fleet::new(seed, NODES, &tenant, Defect::None);
         fleet.run_until(8_000);
         fleet.cut(Some(2));
         fleet.run_until(18_000);
-        let (excess, _) = worst_excess(&fleet);
+        let (excess, _) = max_excess(&fleet);
         assert!(excess <= 0.05, "seed {seed}: {excess}");
-        let run = fleet.seen[0].run_between(10_000..18_000) as f64 / 8.0;
-        assert!(run > 80.0, "seed {seed}: {run}");
+        let per_s = fleet.records[0].admitted_between(10_000..18_000) as f64 / 8.0;
+        assert!(per_s > 80.0, "seed {seed}: {per_s}");
     }
 }
 
 #[test]
 fn without_any_coordinator_each_sidecar_has_its_own_part() {
-    let (mut run, mut small) = (0, 0);
+    let (mut large, mut small) = (0, 0);
     for seed in 0..20 {
         let tenants =
             [(limit(90.0, 30), demand(300.0, 1, None)), (limit(4.0, 4), demand(12.0, 1, None))];
-        let mut fleet = Fleet::new(seed, NODES, &tenants, Broken::Nothing);
+        let mut fleet = Fleet::new(seed, NODES, &tenants, Defect::None);
         fleet.run_until(8_000);
         for coordinator in 0..COORDINATORS {
             fleet.kill_coordinator(coordinator);
         }
         fleet.run_until(20_000);
-        let (_, over_promise) = worst_excess(&fleet);
-        assert!(over_promise <= 0.0, "seed {seed}: {over_promise}");
-        run += fleet.seen[0].run_between(10_000..20_000);
-        small += fleet.seen[1].run_between(10_000..20_000);
+        let (_, over_guarantee) = max_excess(&fleet);
+        assert!(over_guarantee <= 0.0, "seed {seed}: {over_guarantee}");
+        large += fleet.records[0].admitted_between(10_000..20_000);
+        small += fleet.records[1].admitted_between(10_000..20_000);
     }
-    assert!(run / 20 > 800, "{run}");
-    // A small tenant has a part of one request at each node: chance lets it on.
+    assert!(large / 20 > 800, "{large}");
+    // The share of the small tenant at each node is less than one request; its calls are admitted at
+    // random.
     assert!((20 * 12..20 * 45).contains(&small), "{small}");
 }
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Some coordinators and sidecars with their cores, in virtual time, over a network with delays.
+//! Simulates coordinators and sidecars in virtual time, over a network with delays.
 #![allow(dead_code)]
 
 use mesh::{encode_frame, CreditAmount, CreditAnswer, CreditRequest, NodeAddress, TenantId};
@@ -10,44 +10,54 @@
 pub type Millis = u64;
 
 const ZONES: usize = 3;
-const HOUSEKEEPING_MS: Millis = 50;
-const LOOK_MS: Millis = 200;
-/// Time after which a sidecar that is not heard is not listed any more.
-const LISTED_MS: Millis = 1_500;
+const MAINTENANCE_INTERVAL_MS: Millis = 50;
+const TICK_MS: Millis = 200;
+/// Time without requests after which a sidecar is not listed any more.
+const LISTING_TTL_MS: Millis = 1_500;
 
-/// Which promise is broken on purpose.
+/// A deliberate defect, which the tests must notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    Nothing,
+pub enum Defect {
+    None,
     /// A restarted coordinator starts with full pools.
-    RefilledBurst,
-    /// What a coordinator gives is not taken out of its pool.
-    SpentTwice,
-    /// The part of a sidecar is lent to the coordinator of its zone only.
-    LostPart,
-    /// Coordinators and sidecars learn of a lowered limit late.
+    FullAfterRestart,
+    /// A coordinator does not remove granted credit from its pool.
+    UndebitedGrants,
+    /// A sidecar lends its share to the coordinator of its own zone only.
+    LendsInZoneOnly,
+    /// Coordinators and sidecars apply a lowered limit late.
     LateLimit,
 }
 
+/// Messages with the sidecar or coordinator that sent them; an answer names its receiver.
 enum Message {
     Request(usize, CreditRequest),
     Answer(usize, CreditAnswer),
     Pull(usize, Vec<CreditAmount>),
-    Gift(usize, Vec<CreditAmount>),
+    Transfer(usize, Vec<CreditAmount>),
 }
 
 enum Event {
-    Deliver { from_zone: usize, to: usize, message: Message },
-    Call { tenant: usize },
-    Housekeeping(usize),
+    /// `to` is a coordinator, or for an answer the incarnation of the receiving sidecar.
+    Deliver {
+        from_zone: usize,
+        to: usize,
+        message: Message,
+    },
+    Call {
+        tenant: usize,
+    },
+    Maintenance(usize),
     Wake(usize),
-    Look(usize),
+    Tick(usize),
 }
 
 pub struct Sidecar {
-    pub gate: Gate<Waiting>,
+    pub gate: Gate<WaitingCall>,
     up: bool,
-    lives: u64,
+    /// Number of restarts; answers to earlier processes are dropped.
+    incarnation: u64,
+    /// The coordinator that the last request was sent to.
     asked: Option<usize>,
 }
 
@@ -58,7 +68,7 @@
 }
 
 #[derive(Debug)]
-pub struct Waiting {
+pub struct WaitingCall {
     tenant: usize,
     since: Millis,
 }
@@ -66,71 +76,79 @@
 struct Coordinator {
     pools: Pools,
     up: bool,
-    heard: BTreeMap<usize, Millis>,
+    heard_peers: BTreeMap<usize, Millis>,
     listed: BTreeMap<usize, Millis>,
-    refills: bool,
+    /// Whether its pools are still to be filled ([`Defect::FullAfterRestart`]).
+    starts_full: bool,
 }
 
-/// What became of the calls of one tenant.
+/// Times and outcomes of the calls of one tenant.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub asked: Vec<Millis>,
-    pub run: Vec<Millis>,
+pub struct CallRecord {
+    pub arrived: Vec<Millis>,
+    pub admitted: Vec<Millis>,
     pub refused: Vec<Millis>,
+    /// Retry times of refused calls, milliseconds.
     pub retry_after: Vec<Millis>,
+    /// Waits of admitted calls, milliseconds.
     pub waits: Vec<Millis>,
 }
 
-impl Seen {
-    /// Most runs in any window that begins at a time or later.
-    pub fn most_in_window(&self, begins: Millis) -> usize {
-        let runs: Vec<Millis> = self.run.iter().copied().filter(|at| *at >= begins).collect();
+impl CallRecord {
+    /// Maximum number of admitted calls in any window that begins at `start` or later.
+    pub fn max_in_window(&self, start: Millis) -> usize {
+        let admitted: Vec<Millis> =
+            self.admitted.iter().copied().filter(|at| *at >= start).collect();
         let mut first = 0;
-        let mut most = 0;
-        for (last, at) in runs.iter().enumerate() {
-            while runs[first] + WINDOW_MS <= *at {
+        let mut max = 0;
+        for (last, at) in admitted.iter().enumerate() {
+            while admitted[first] + WINDOW_MS <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max = max.max(last + 1 - first);
         }
-        most
+        max
     }
 
     pub fn refused_between(&self, span: std::ops::Range<Millis>) -> usize {
         self.refused.iter().filter(|at| span.contains(at)).count()
     }
 
-    pub fn run_between(&self, span: std::ops::Range<Millis>) -> usize {
-        self.run.iter().filter(|at| span.contains(at)).count()
+    pub fn admitted_between(&self, span: std::ops::Range<Millis>) -> usize {
+        self.admitted.iter().filter(|at| span.contains(at)).count()
     }
 }
 
 #[derive(Clone, Debug)]
 pub struct Demand {
     pub per_s: f64,
-    /// Calls that come together.
-    pub clump: usize,
-    /// Zone of its callers, or all.
+    /// Number of calls that arrive together.
+    pub batch: usize,
+    /// Zone of the callers; `None` for all zones.
     pub zone: Option<usize>,
 }
 
 pub struct Fleet {
     pub now: Millis,
     pub random: fastrand::Rng,
-    broken: Broken,
+    defect: Defect,
     coordinators: Vec<Coordinator>,
     pub sidecars: Vec<Sidecar>,
     pub limits: Vec<Limit>,
+    /// The limits that sidecars have applied.
     sidecar_limits: Vec<Limit>,
     pub demands: Vec<Demand>,
-    pub seen: Vec<Seen>,
+    pub records: Vec<CallRecord>,
+    /// Zone without links to the others.
     cut: Option<usize>,
+    /// Times and numbers of the pending events.
     events: BinaryHeap<Reverse<(Millis, u64)>>,
-    bodies: BTreeMap<u64, Event>,
-    next: u64,
-    /// Frames and bytes from and to sidecars, and between coordinators.
+    pending_events: BTreeMap<u64, Event>,
+    next_event: u64,
+    /// Frames and bytes exchanged between sidecars and coordinators.
     pub frames: usize,
     pub bytes: usize,
+    /// Frames and bytes exchanged between coordinators.
     pub peer_frames: usize,
     pub peer_bytes: usize,
 }
@@ -144,81 +162,81 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, nodes: usize, tenants: &[(Limit, Demand)], broken: Broken) -> Self {
+    pub fn new(seed: u64, nodes: usize, tenants: &[(Limit, Demand)], defect: Defect) -> Self {
         let mut fleet = Fleet {
             now: 0,
             random: fastrand::Rng::with_seed(seed),
-            broken,
+            defect,
             coordinators: Vec::new(),
             sidecars: Vec::new(),
             limits: tenants.iter().map(|(limit, _)| *limit).collect(),
             sidecar_limits: tenants.iter().map(|(limit, _)| *limit).collect(),
             demands: tenants.iter().map(|(_, demand)| demand.clone()).collect(),
-            seen: vec![Seen::default(); tenants.len()],
+            records: vec![CallRecord::default(); tenants.len()],
             cut: None,
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
-            next: 0,
+            pending_events: BTreeMap::new(),
+            next_event: 0,
             frames: 0,
             bytes: 0,
             peer_frames: 0,
             peer_bytes: 0,
         };
         for coordinator in 0..ZONES {
-            let made = fleet.new_coordinator(false);
-            fleet.coordinators.push(made);
-            let at = fleet.random.u64(0..LOOK_MS);
-            fleet.push(at, Event::Look(coordinator));
+            let new = fleet.new_coordinator(false);
+            fleet.coordinators.push(new);
+            let at = fleet.random.u64(0..TICK_MS);
+            fleet.push(at, Event::Tick(coordinator));
         }
         for node in 0..nodes {
             let gate = fleet.new_gate();
-            fleet.sidecars.push(Sidecar { gate, up: true, lives: 0, asked: None });
-            let at = fleet.random.u64(0..HOUSEKEEPING_MS);
-            fleet.push(at, Event::Housekeeping(node));
+            fleet.sidecars.push(Sidecar { gate, up: true, incarnation: 0, asked: None });
+            let at = fleet.random.u64(0..MAINTENANCE_INTERVAL_MS);
+            fleet.push(at, Event::Maintenance(node));
         }
         for tenant in 0..tenants.len() {
-            fleet.push_call(tenant);
+            fleet.schedule_call(tenant);
         }
         fleet
     }
 
     fn new_coordinator(&self, restarted: bool) -> Coordinator {
-        let (since, refills) = (self.now, restarted && self.broken == Broken::RefilledBurst);
+        let (since, starts_full) = (self.now, restarted && self.defect == Defect::FullAfterRestart);
         let mut pools = Pools::new(since);
         pools.set_limits(self.limits.iter().enumerate().map(|(t, l)| (id(t), *l)), since);
-        let (heard, listed) = (BTreeMap::new(), BTreeMap::new());
-        Coordinator { pools, up: true, heard, listed, refills }
+        let (heard_peers, listed) = (BTreeMap::new(), BTreeMap::new());
+        Coordinator { pools, up: true, heard_peers, listed, starts_full }
     }
 
-    fn new_gate(&mut self) -> Gate<Waiting> {
+    fn new_gate(&mut self) -> Gate<WaitingCall> {
         let mut gate = Gate::new(self.random.u64(..));
         gate.set_any_limit(true);
         gate
     }
 
     fn push(&mut self, at: Millis, event: Event) {
-        self.next += 1;
-        self.events.push(Reverse((at, self.next)));
-        self.bodies.insert(self.next, event);
+        self.next_event += 1;
+        self.events.push(Reverse((at, self.next_event)));
+        self.pending_events.insert(self.next_event, event);
     }
 
-    fn push_call(&mut self, tenant: usize) {
-        let Demand { per_s, clump, .. } = self.demands[tenant];
+    fn schedule_call(&mut self, tenant: usize) {
+        let Demand { per_s, batch, .. } = self.demands[tenant];
         if per_s <= 0.0 {
             return;
         }
-        let mean_ms = 1_000.0 * clump as f64 / per_s;
+        let mean_ms = 1_000.0 * batch as f64 / per_s;
         let gap = -(1.0 - self.random.f64()).ln() * mean_ms;
         let at = self.now + gap.round() as Millis;
         self.push(at, Event::Call { tenant });
     }
 
-    /// Changes what a tenant's callers ask.
+    /// Changes the demand of a tenant's callers.
     pub fn set_demand(&mut self, tenant: usize, demand: Demand) {
-        let silent = self.demands[tenant].per_s <= 0.0;
+        let was_idle = self.demands[tenant].per_s <= 0.0;
         self.demands[tenant] = demand;
-        if silent {
-            self.push_call(tenant);
+        if was_idle {
+            self.schedule_call(tenant);
         }
     }
 
@@ -230,11 +248,11 @@
         from == to || self.cut != Some(from) && self.cut != Some(to)
     }
 
-    fn way(&mut self, from: usize, to: usize) -> Millis {
-        let least = if from == to { 1 } else { 2 };
-        // Now and then a thread waits for its turn, or a packet is sent again.
-        let late = if self.random.u32(0..100) == 0 { self.random.u64(0..60) } else { 0 };
-        least + self.random.u64(0..2) + late
+    fn delay(&mut self, from: usize, to: usize) -> Millis {
+        let min_ms = if from == to { 1 } else { 2 };
+        // Occasional delays by thread scheduling or retransmission.
+        let extra_ms = if self.random.u32(0..100) == 0 { self.random.u64(0..60) } else { 0 };
+        min_ms + self.random.u64(0..2) + extra_ms
     }
 
     pub fn run_until(&mut self, end: Millis) {
@@ -246,7 +264,7 @@
                 break;
             };
             self.now = at;
-            if let Some(event) = self.bodies.remove(&key) {
+            if let Some(event) = self.pending_events.remove(&key) {
                 self.handle(event);
             }
         }
@@ -256,23 +274,23 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Call { tenant } => {
-                for _ in 0..self.demands[tenant].clump {
+                for _ in 0..self.demands[tenant].batch {
                     self.call(tenant);
                 }
-                self.push_call(tenant);
+                self.schedule_call(tenant);
             }
-            Event::Housekeeping(node) => {
+            Event::Maintenance(node) => {
                 let now = self.now;
                 self.sidecars[node].gate.expire(now);
-                self.pump(node);
-                let at = self.now + HOUSEKEEPING_MS;
-                self.push(at, Event::Housekeeping(node));
+                self.run_sidecar(node);
+                let at = self.now + MAINTENANCE_INTERVAL_MS;
+                self.push(at, Event::Maintenance(node));
             }
-            Event::Wake(node) => self.pump(node),
-            Event::Look(coordinator) => {
-                self.look(coordinator);
-                let at = self.now + LOOK_MS;
-                self.push(at, Event::Look(coordinator));
+            Event::Wake(node) => self.run_sidecar(node),
+            Event::Tick(coordinator) => {
+                self.tick_coordinator(coordinator);
+                let at = self.now + TICK_MS;
+                self.push(at, Event::Tick(coordinator));
             }
             Event::Deliver { from_zone, to, message } => self.deliver(from_zone, to, message),
         }
@@ -293,31 +311,31 @@
 
     pub fn call_at(&mut self, tenant: usize, node: usize) {
         let now = self.now;
-        self.seen[tenant].asked.push(now);
+        self.records[tenant].arrived.push(now);
         let limit = self.sidecar_limits[tenant];
-        let waiting = Waiting { tenant, since: now };
+        let waiting = WaitingCall { tenant, since: now };
         let settled = self.sidecars[node].gate.admit(id(tenant), limit, waiting, now);
-        self.note(settled);
-        self.pump(node);
+        self.record_outcomes(settled);
+        self.run_sidecar(node);
     }
 
-    fn note(&mut self, settled: impl IntoIterator<Item = (Waiting, Outcome)>) {
-        for (Waiting { tenant, since }, outcome) in settled {
-            let seen = &mut self.seen[tenant];
+    fn record_outcomes(&mut self, settled: impl IntoIterator<Item = (WaitingCall, Outcome)>) {
+        for (WaitingCall { tenant, since }, outcome) in settled {
+            let record = &mut self.records[tenant];
             match outcome {
                 Outcome::Admitted => {
-                    seen.run.push(self.now);
-                    seen.waits.push(self.now - since);
+                    record.admitted.push(self.now);
+                    record.waits.push(self.now - since);
                 }
                 Outcome::Refused(refusal) => {
-                    seen.refused.push(self.now);
-                    seen.retry_after.push(refusal.retry_after_ms);
+                    record.refused.push(self.now);
+                    record.retry_after.push(refusal.retry_after_ms);
                 }
             }
         }
     }
 
-    fn pump(&mut self, node: usize) {
+    fn run_sidecar(&mut self, node: usize) {
         if !self.sidecars[node].up {
             return;
         }
@@ -333,10 +351,10 @@
         }
         sidecar.gate.set_linked(!linked.is_empty());
         let settled = sidecar.gate.settle(now);
-        let turn = usize::from(sidecar.gate.is_unanswered(now) && linked.len() > 1);
-        if let Some(to) = linked.get(turn).copied() {
+        let index = usize::from(sidecar.gate.is_unanswered(now) && linked.len() > 1);
+        if let Some(to) = linked.get(index).copied() {
             if let Some(mut request) = sidecar.gate.request(to as u64, now) {
-                request.lends &= self.broken != Broken::LostPart || to == zone;
+                request.lends &= self.defect != Defect::LendsInZoneOnly || to == zone;
                 sidecar.asked = Some(to);
                 let mut bytes = Vec::new();
                 encode_frame(&mesh::ToCoordinator::Credits(request.clone()), &mut bytes);
@@ -345,9 +363,9 @@
                 self.send(zone, to, Message::Request(node, request));
             }
         }
-        self.note(settled);
+        self.record_outcomes(settled);
         if let Some(at) = self.sidecars[node].gate.next_tick(now) {
-            let soon = now + HOUSEKEEPING_MS;
+            let soon = now + MAINTENANCE_INTERVAL_MS;
             if at > now && at < soon {
                 self.push(at, Event::Wake(node));
             }
@@ -359,7 +377,7 @@
             Message::Answer(node, _) => self.zone_of_node(*node),
             _ => to,
         };
-        let at = self.now + self.way(from_zone, to_zone);
+        let at = self.now + self.delay(from_zone, to_zone);
         self.push(at, Event::Deliver { from_zone, to, message });
     }
 
@@ -367,9 +385,9 @@
         let now = self.now;
         if let Message::Answer(node, answer) = message {
             let sidecar = &mut self.sidecars[node];
-            if sidecar.up && sidecar.lives == to as u64 {
+            if sidecar.up && sidecar.incarnation == to as u64 {
                 sidecar.gate.handle_answer(answer, now);
-                self.pump(node);
+                self.run_sidecar(node);
             }
             return;
         }
@@ -378,48 +396,48 @@
         }
         match message {
             Message::Request(node, request) => {
-                let lives = self.sidecars[node].lives;
-                let answered = self.coordinators[to].pools.request(address(node), request, now);
-                if self.broken == Broken::SpentTwice {
-                    let put_back = |grant: &mesh::CreditGrant| CreditAmount {
+                let incarnation = self.sidecars[node].incarnation;
+                let response = self.coordinators[to].pools.request(address(node), request, now);
+                if self.defect == Defect::UndebitedGrants {
+                    let undo_debit = |grant: &mesh::CreditGrant| CreditAmount {
                         tenant: grant.tenant,
                         milli: u32::from(grant.granted) * 1_000,
                     };
                     let amounts: Vec<CreditAmount> =
-                        answered.answer.grants.iter().map(put_back).collect();
+                        response.answer.grants.iter().map(undo_debit).collect();
                     self.coordinators[to].pools.receive(u64::MAX, &amounts, now);
                 }
                 self.coordinators[to].listed.insert(node, now);
                 let mut bytes = Vec::new();
-                encode_frame(&mesh::ToSidecar::Credits(answered.answer.clone()), &mut bytes);
+                encode_frame(&mesh::ToSidecar::Credits(response.answer.clone()), &mut bytes);
                 self.frames += 1;
                 self.bytes += bytes.len();
-                let answer = Message::Answer(node, answered.answer);
+                let answer = Message::Answer(node, response.answer);
                 let zone = self.zone_of_node(node);
                 if self.reaches(to, zone) {
-                    let at = now + self.way(to, zone);
+                    let at = now + self.delay(to, zone);
                     let event =
-                        Event::Deliver { from_zone: to, to: lives as usize, message: answer };
+                        Event::Deliver { from_zone: to, to: incarnation as usize, message: answer };
                     self.push(at, event);
                 }
-                for (peer, lacks) in answered.pulls {
-                    self.note_peer_bytes(to, &lacks);
+                for (peer, lacks) in response.pulls {
+                    self.count_peer_bytes(to, &lacks);
                     self.send(to, peer as usize, Message::Pull(to, lacks));
                 }
             }
             Message::Pull(from, lacks) => {
-                let gifts = self.coordinators[to].pools.give(&lacks, now);
-                self.note_peer_bytes(to, &gifts);
-                self.send(to, from, Message::Gift(to, gifts));
+                let credits = self.coordinators[to].pools.give(&lacks, now);
+                self.count_peer_bytes(to, &credits);
+                self.send(to, from, Message::Transfer(to, credits));
             }
-            Message::Gift(from, gifts) => {
-                self.coordinators[to].pools.receive(from as u64, &gifts, now);
+            Message::Transfer(from, credits) => {
+                self.coordinators[to].pools.receive(from as u64, &credits, now);
             }
             Message::Answer(..) => {}
         }
     }
 
-    fn note_peer_bytes(&mut self, member: usize, amounts: &[CreditAmount]) {
+    fn count_peer_bytes(&mut self, member: usize, amounts: &[CreditAmount]) {
         let (member, lacks) = (member as u64, amounts.to_vec());
         let mut bytes = Vec::new();
         encode_frame(&mesh::CoordinatorFrame::CreditPull { member, lacks }, &mut bytes);
@@ -427,7 +445,7 @@
         self.peer_bytes += bytes.len();
     }
 
-    fn look(&mut self, own: usize) {
+    fn tick_coordinator(&mut self, own: usize) {
         if !self.coordinators[own].up {
             return;
         }
@@ -438,21 +456,21 @@
                 continue;
             }
             for (node, at) in self.coordinators[peer].listed.clone() {
-                let held = listed.entry(node).or_insert(at);
-                *held = at.max(*held);
+                let latest = listed.entry(node).or_insert(at);
+                *latest = at.max(*latest);
             }
-            self.coordinators[own].heard.insert(peer, now);
+            self.coordinators[own].heard_peers.insert(peer, now);
         }
-        listed.retain(|_, at| now < *at + LISTED_MS);
+        listed.retain(|_, at| now < *at + LISTING_TTL_MS);
         let coordinator = &mut self.coordinators[own];
-        for (peer, at) in &coordinator.heard {
+        for (peer, at) in &coordinator.heard_peers {
             coordinator.pools.fleet.heard_peer(*peer as u64, *at);
         }
         let peers: Vec<u64> = (0..ZONES as u64).filter(|peer| *peer != own as u64).collect();
         let nodes = listed.keys().map(|node| (address(*node), false));
         coordinator.pools.tick(nodes, &peers, now);
-        if coordinator.refills && coordinator.pools.share() > 0.2 {
-            coordinator.refills = false;
+        if coordinator.starts_full && coordinator.pools.share() > 0.2 {
+            coordinator.starts_full = false;
             let full = |(tenant, limit): (usize, &Limit)| CreditAmount {
                 tenant: id(tenant),
                 milli: (limit.depth() * 1_000.0 / ZONES as f64) as u32,
@@ -462,14 +480,12 @@
         }
     }
 
-    // Faults.
-
-    pub fn kill_coordinator(&mut self, which: usize) {
-        self.coordinators[which].up = false;
+    pub fn kill_coordinator(&mut self, index: usize) {
+        self.coordinators[index].up = false;
     }
 
-    pub fn start_coordinator(&mut self, which: usize) {
-        self.coordinators[which] = self.new_coordinator(true);
+    pub fn start_coordinator(&mut self, index: usize) {
+        self.coordinators[index] = self.new_coordinator(true);
     }
 
     pub fn kill_sidecar(&mut self, node: usize) {
@@ -477,9 +493,9 @@
     }
 
     pub fn start_sidecar(&mut self, node: usize) {
-        let lives = self.sidecars[node].lives + 1;
+        let incarnation = self.sidecars[node].incarnation + 1;
         let gate = self.new_gate();
-        self.sidecars[node] = Sidecar { gate, up: true, lives, asked: None };
+        self.sidecars[node] = Sidecar { gate, up: true, incarnation, asked: None };
     }
 
     pub fn cut(&mut self, zone: Option<usize>) {
@@ -489,7 +505,7 @@
     /// Puts a limit in force at all coordinators and sidecars.
     pub fn set_limit(&mut self, tenant: usize, limit: Limit) {
         self.limits[tenant] = limit;
-        if self.broken != Broken::LateLimit {
+        if self.defect != Defect::LateLimit {
             self.apply_limits();
         }
     }
