--- a/crates/canary/src/evidence.rs
+++ b/crates/canary/src/evidence.rs
@@ -1,31 +1,31 @@
-//! What every call showed of the versions of a service, gathered from the sidecars beside its
-//! upstreams: each is the only sender to one upstream, so its counts are exact.
+//! Outcomes of the calls of a service by version, reported by the sidecars at its upstreams. Each
+//! upstream receives calls only from its own sidecar, so the counts are exact.
 
 use crate::Millis;
 use mesh::{CallClass, ClassOutcomes, NodeAddress, VersionEvidence};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Length of the recent past that is also judged by itself, since a version may turn bad later,
-/// milliseconds: at a fortieth of some hundred calls a second, two dozen calls.
-const WINDOW_MS: Millis = 3_000;
-/// Upstream lives remembered of one canary.
-const MOST_UPSTREAMS: usize = 8_192;
-/// Call classes remembered of one upstream.
-const MOST_CLASSES: usize = 64;
+/// Length of the recent period, milliseconds, which is also judged by itself because a version may
+/// turn bad later: two dozen calls at a share of 1/40 of a few hundred calls per second.
+const RECENT_MS: Millis = 3_000;
+/// Maximum number of candidate reporters, and of stable ones, that are recorded.
+const MAX_REPORTERS: usize = 8_192;
+/// Maximum number of call classes accepted from one report.
+const MAX_CLASSES: usize = 64;
 
 /// Outcomes at one upstream, by class.
 pub type UpstreamSums = BTreeMap<CallClass, ClassOutcomes>;
 
-/// One life of the sidecar beside an upstream.
-type Teller = (NodeAddress, u64);
+/// One process of the sidecar of an upstream: its address and boot id.
+type Reporter = (NodeAddress, u64);
 
-/// What was told of the upstreams of one canary.
+/// Reported outcomes at the upstreams of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sums {
     /// Upstreams of the new version.
-    pub candidate: BTreeMap<Teller, UpstreamSums>,
-    /// All others.
-    pub stable: BTreeMap<Teller, UpstreamSums>,
+    pub candidate: BTreeMap<Reporter, UpstreamSums>,
+    /// Upstreams of all other versions.
+    pub stable: BTreeMap<Reporter, UpstreamSums>,
 }
 
 impl Sums {
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Mark {
+struct Snapshot {
     at: Millis,
     sums: Sums,
 }
@@ -47,78 +47,83 @@
     run: u64,
     version: String,
     sums: Sums,
-    marks: VecDeque<Mark>,
+    snapshots: VecDeque<Snapshot>,
 }
 
 impl Evidence {
-    /// Nothing is known yet of the canary `run` for a version.
+    /// Creates empty evidence for the canary with number `run` of a version.
     pub fn new(run: u64, version: &str) -> Self {
-        Evidence { run, version: version.to_owned(), sums: Sums::default(), marks: VecDeque::new() }
+        Evidence {
+            run,
+            version: version.to_owned(),
+            sums: Sums::default(),
+            snapshots: VecDeque::new(),
+        }
     }
 
-    /// Which canary it is about.
+    /// Number of the canary.
     pub fn run(&self) -> u64 {
         self.run
     }
 
-    /// Takes in what one life of a sidecar told. What is of another canary, or older than what is
-    /// held, changes nothing.
-    pub fn record(&mut self, from: NodeAddress, life: u64, told: &VersionEvidence) {
-        if told.run != self.run {
+    /// Records a report of a sidecar process. Reports of other canaries, and ones older than what is
+    /// already recorded, are ignored.
+    pub fn record(&mut self, from: NodeAddress, boot_id: u64, report: &VersionEvidence) {
+        if report.run != self.run {
             return;
         }
-        let of_candidate = told.version == self.version;
-        let side = if of_candidate { &mut self.sums.candidate } else { &mut self.sums.stable };
-        let teller = (from, life);
-        if side.len() >= MOST_UPSTREAMS && !side.contains_key(&teller) {
+        let of_candidate = report.version == self.version;
+        let upstreams = if of_candidate { &mut self.sums.candidate } else { &mut self.sums.stable };
+        let reporter = (from, boot_id);
+        if upstreams.len() >= MAX_REPORTERS && !upstreams.contains_key(&reporter) {
             return;
         }
-        let held = side.entry(teller).or_default();
-        for evidence in told.classes.iter().take(MOST_CLASSES) {
-            let known = held.entry(evidence.class).or_default();
+        let classes = upstreams.entry(reporter).or_default();
+        for evidence in report.classes.iter().take(MAX_CLASSES) {
+            let known = classes.entry(evidence.class).or_default();
             if evidence.outcomes.ended() > known.ended() {
                 *known = evidence.outcomes.clone();
             }
         }
     }
 
-    /// Remembers what is held now, so that the recent past can be told from what was before.
+    /// Takes a snapshot of the sums, by which the recent period is separated from the earlier one.
     pub fn take_snapshot(&mut self, now: Millis) {
-        self.marks.push_back(Mark { at: now, sums: self.sums.clone() });
-        while self.marks.get(1).is_some_and(|second| second.at + WINDOW_MS <= now) {
-            self.marks.pop_front();
+        self.snapshots.push_back(Snapshot { at: now, sums: self.sums.clone() });
+        while self.snapshots.get(1).is_some_and(|second| second.at + RECENT_MS <= now) {
+            self.snapshots.pop_front();
         }
     }
 
-    /// All that was told.
+    /// All recorded outcomes.
     pub fn whole(&self) -> &Sums {
         &self.sums
     }
 
-    /// What was told of the recent past.
+    /// Outcomes recorded in the recent period.
     pub fn recent(&self) -> Sums {
-        let Some(mark) = self.marks.front() else {
+        let Some(snapshot) = self.snapshots.front() else {
             return self.sums.clone();
         };
         Sums {
-            candidate: since(&self.sums.candidate, &mark.sums.candidate),
-            stable: since(&self.sums.stable, &mark.sums.stable),
+            candidate: recorded_since(&self.sums.candidate, &snapshot.sums.candidate),
+            stable: recorded_since(&self.sums.stable, &snapshot.sums.stable),
         }
     }
 }
 
-fn since(
-    newer: &BTreeMap<Teller, UpstreamSums>,
-    older: &BTreeMap<Teller, UpstreamSums>,
-) -> BTreeMap<Teller, UpstreamSums> {
-    let nothing = ClassOutcomes::default();
-    let of_upstream = |(teller, classes): (&Teller, &UpstreamSums)| {
-        let before = older.get(teller);
+fn recorded_since(
+    newer: &BTreeMap<Reporter, UpstreamSums>,
+    older: &BTreeMap<Reporter, UpstreamSums>,
+) -> BTreeMap<Reporter, UpstreamSums> {
+    let none = ClassOutcomes::default();
+    let of_upstream = |(reporter, classes): (&Reporter, &UpstreamSums)| {
+        let before = older.get(reporter);
         let of_class = |(class, outcomes): (&CallClass, &ClassOutcomes)| {
-            let former = before.and_then(|before| before.get(class)).unwrap_or(&nothing);
-            (*class, difference(outcomes, former))
+            let previous = before.and_then(|before| before.get(class)).unwrap_or(&none);
+            (*class, difference(outcomes, previous))
         };
-        (*teller, classes.iter().map(of_class).collect())
+        (*reporter, classes.iter().map(of_class).collect())
     };
     newer.iter().map(of_upstream).collect()
 }
--- a/crates/canary/src/health.rs
+++ b/crates/canary/src/health.rs
@@ -1,138 +1,146 @@
-//! Upstreams that are ill by themselves: faults that hit a machine, whatever version it runs.
+//! Upstreams that are degraded by faults of their machines, whatever version they run.
 //!
-//! An upstream is well, or fails or slows a part of the calls of all classes. Its state may have
-//! changed between the two [`Period`]s in which its calls are counted.
+//! An upstream is healthy, or it fails or slows a fraction of the calls of all classes. Its state may
+//! have changed between the two [`Period`]s in which its calls are counted.
 
-use crate::outcomes::{Counts, Harm, LogRates, Rates};
+use crate::outcomes::{Counts, Effect, LogRates, Rates};
 
-/// The part of the calls that an ill upstream harms.
-const ILL_PART: f64 = 0.45;
-/// Chance that the state of an upstream in the later period is drawn anew.
-const TURN: f64 = 0.25;
-/// States of an upstream in one period: well, failing, slow.
+/// Fraction of its calls that a degraded upstream fails or slows.
+const AFFECTED_FRACTION: f64 = 0.45;
+/// Probability that the state of an upstream in the recent period is drawn anew, independently of the
+/// earlier one.
+const REDRAW_PROBABILITY: f64 = 0.25;
+/// Number of states of an upstream in one period: healthy, failing, slow.
 const STATES: usize = 3;
-const WELL: usize = 0;
+const HEALTHY: usize = 0;
 
-/// When calls were counted.
+/// The period in which calls were counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Period {
-    /// Before the recent past.
-    Before,
-    /// In the recent past.
-    Since,
+    /// Before the recent period.
+    Earlier,
+    /// The recent period.
+    Recent,
 }
 
 /// One value for each period.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Periods<T> {
-    pub before: T,
-    pub since: T,
+    pub earlier: T,
+    pub recent: T,
 }
 
 impl<T> Periods<T> {
-    pub fn map<U>(&self, of: impl Fn(&T) -> U) -> Periods<U> {
-        Periods { before: of(&self.before), since: of(&self.since) }
+    pub fn map<U>(&self, map: impl Fn(&T) -> U) -> Periods<U> {
+        Periods { earlier: map(&self.earlier), recent: map(&self.recent) }
     }
 
     pub fn get(&self, period: Period) -> &T {
         match period {
-            Period::Before => &self.before,
-            Period::Since => &self.since,
+            Period::Earlier => &self.earlier,
+            Period::Recent => &self.recent,
         }
     }
 }
 
-/// A logarithm of a likelihood for each state of an upstream.
+/// Log-likelihood of some calls for each state of an upstream.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ByState([f64; STATES]);
+pub(crate) struct StateLogLikelihoods([f64; STATES]);
 
-impl ByState {
-    pub fn plus(self, other: &ByState) -> Self {
-        ByState([0, 1, 2].map(|state| self.0[state] + other.0[state]))
+impl StateLogLikelihoods {
+    pub fn plus(self, other: &StateLogLikelihoods) -> Self {
+        StateLogLikelihoods([0, 1, 2].map(|state| self.0[state] + other.0[state]))
     }
 
-    pub fn minus(self, other: &ByState) -> Self {
-        ByState([0, 1, 2].map(|state| self.0[state] - other.0[state]))
+    pub fn minus(self, other: &StateLogLikelihoods) -> Self {
+        StateLogLikelihoods([0, 1, 2].map(|state| self.0[state] - other.0[state]))
     }
 
-    fn greatest(&self) -> f64 {
+    fn max(&self) -> f64 {
         self.0.iter().copied().fold(f64::MIN, f64::max)
     }
 }
 
-/// The chances of a call at upstreams in each state, as logarithms.
+/// Log-probabilities of the outcomes of a call, for each state of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StateRates([LogRates; STATES]);
-
-impl StateRates {
-    /// `well`: the chances at an upstream that is well.
-    pub fn new(well: Rates) -> Self {
-        let failing = well.worsened(Harm::Fails(ILL_PART));
-        let slow = well.worsened(Harm::Slows(ILL_PART));
-        StateRates([well, failing, slow].map(Rates::logarithms))
+pub(crate) struct StateLogRates([LogRates; STATES]);
+
+impl StateLogRates {
+    /// `healthy` are the rates of a healthy upstream.
+    pub fn new(healthy: Rates) -> Self {
+        let failing = healthy.with_effect(Effect::Fails(AFFECTED_FRACTION));
+        let slow = healthy.with_effect(Effect::Slows(AFFECTED_FRACTION));
+        StateLogRates([healthy, failing, slow].map(Rates::logs))
     }
 
-    pub fn of(&self, counts: &Counts) -> ByState {
-        ByState(self.0.map(|rates| rates.of(counts)))
+    pub fn log_likelihoods(&self, counts: &Counts) -> StateLogLikelihoods {
+        StateLogLikelihoods(self.0.map(|rates| rates.log_likelihood(counts)))
     }
 }
 
-/// How many upstreams are ill, 0 to 1 each.
+/// Fractions of upstreams in the degraded states, or probabilities of these states for one upstream,
+/// from 0 to 1 each.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct IllParts {
+pub(crate) struct DegradedFractions {
     pub failing: f64,
     pub slow: f64,
 }
 
-/// The chance of each pair of states, of the earlier and the later period.
+/// Probability of each pair of states in the earlier and the recent period.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StateChances([[f64; STATES]; STATES]);
+pub(crate) struct StateProbabilities([[f64; STATES]; STATES]);
 
-/// What the calls of an upstream tell of it.
+/// Log-likelihoods of the calls of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Likelihood {
-    /// The logarithm where it was well all the time.
-    pub well: f64,
-    /// The logarithm where its states are not known.
+    /// With the upstream healthy in both periods.
+    pub healthy: f64,
+    /// With its states unknown.
     pub any: f64,
 }
 
-impl StateChances {
-    pub fn new(ill: IllParts) -> Self {
-        let of = [1.0 - ill.failing - ill.slow, ill.failing, ill.slow];
-        let pair = |before: usize, since: usize| {
-            let stays = if before == since { 1.0 - TURN } else { 0.0 };
-            of[before] * (stays + TURN * of[since])
+impl StateProbabilities {
+    pub fn new(degraded: DegradedFractions) -> Self {
+        let priors = [1.0 - degraded.failing - degraded.slow, degraded.failing, degraded.slow];
+        let pair = |earlier: usize, recent: usize| {
+            let stays = if earlier == recent { 1.0 - REDRAW_PROBABILITY } else { 0.0 };
+            priors[earlier] * (stays + REDRAW_PROBABILITY * priors[recent])
         };
-        StateChances([0, 1, 2].map(|before| [0, 1, 2].map(|since| pair(before, since))))
+        StateProbabilities([0, 1, 2].map(|earlier| [0, 1, 2].map(|recent| pair(earlier, recent))))
     }
 
-    /// Weighs the states by the likelihoods in both periods.
-    pub fn likelihood(&self, told: &Periods<ByState>) -> Likelihood {
-        let scale = told.before.greatest() + told.since.greatest();
-        let sum: f64 = self.weights(told).iter().flatten().sum();
-        let well = self.0[WELL][WELL].ln() + told.before.0[WELL] + told.since.0[WELL];
-        Likelihood { well, any: sum.max(f64::MIN_POSITIVE).ln() + scale }
+    /// Combines the likelihoods in both periods over the states.
+    pub fn likelihood(&self, log_likelihoods: &Periods<StateLogLikelihoods>) -> Likelihood {
+        let scale = log_likelihoods.earlier.max() + log_likelihoods.recent.max();
+        let sum: f64 = self.weights(log_likelihoods).iter().flatten().sum();
+        let healthy = self.0[HEALTHY][HEALTHY].ln()
+            + log_likelihoods.earlier.0[HEALTHY]
+            + log_likelihoods.recent.0[HEALTHY];
+        Likelihood { healthy, any: sum.max(f64::MIN_POSITIVE).ln() + scale }
     }
 
-    /// The chances of the states in each period, after what the calls told.
-    pub fn after(&self, told: &Periods<ByState>) -> Periods<IllParts> {
-        let weights = self.weights(told);
+    /// Posterior probabilities of the degraded states in each period.
+    pub fn posterior(
+        &self,
+        log_likelihoods: &Periods<StateLogLikelihoods>,
+    ) -> Periods<DegradedFractions> {
+        let weights = self.weights(log_likelihoods);
         let sum: f64 = weights.iter().flatten().sum();
-        let before = |state: usize| weights[state].iter().sum::<f64>() / sum;
-        let since = |state: usize| weights.iter().map(|row| row[state]).sum::<f64>() / sum;
+        let earlier = |state: usize| weights[state].iter().sum::<f64>() / sum;
+        let recent = |state: usize| weights.iter().map(|row| row[state]).sum::<f64>() / sum;
         Periods {
-            before: IllParts { failing: before(1), slow: before(2) },
-            since: IllParts { failing: since(1), slow: since(2) },
+            earlier: DegradedFractions { failing: earlier(1), slow: earlier(2) },
+            recent: DegradedFractions { failing: recent(1), slow: recent(2) },
         }
     }
 
-    /// Not normalized: the likeliest states of each period have the factor 1.
-    fn weights(&self, told: &Periods<ByState>) -> [[f64; STATES]; STATES] {
-        let scaled = told.map(|logs| logs.0.map(|log| (log - logs.greatest()).exp()));
-        let weight = |before: usize, since: usize| {
-            self.0[before][since] * scaled.before[before] * scaled.since[since]
+    /// Unnormalized posterior probabilities of the pairs of states; the likelihoods are scaled such that
+    /// the maximum of each period is 1.
+    fn weights(&self, log_likelihoods: &Periods<StateLogLikelihoods>) -> [[f64; STATES]; STATES] {
+        let scaled = log_likelihoods.map(|logs| logs.0.map(|log| (log - logs.max()).exp()));
+        let weight = |earlier: usize, recent: usize| {
+            self.0[earlier][recent] * scaled.earlier[earlier] * scaled.recent[recent]
         };
-        [0, 1, 2].map(|before| [0, 1, 2].map(|since| weight(before, since)))
+        [0, 1, 2].map(|earlier| [0, 1, 2].map(|recent| weight(earlier, recent)))
     }
 }
--- a/crates/canary/src/lib.rs
+++ b/crates/canary/src/lib.rs
@@ -1,8 +1,8 @@
-//! Whether and when a new version of a service's upstreams takes over: a canary.
+//! Canary rollouts: decides whether and when a new version of a service's upstreams takes over.
 //!
-//! Pure: what sidecars saw comes in with the time, the next phase goes out. [`Evidence`] gathers
-//! what every call showed, [`judge`] weighs a version against the ones in use, and [`Plan`] says
-//! when to go on.
+//! The crate does no I/O and reads no clock; callers pass the time and the reports of sidecars, and
+//! get the next phase. [`Evidence`] collects the outcomes of all calls, [`judge`] compares a version
+//! with the ones in use, and [`Plan`] decides when to advance.
 #![forbid(unsafe_code)]
 
 mod analysis;
--- a/crates/canary/src/likelihood.rs
+++ b/crates/canary/src/likelihood.rs
@@ -1,72 +1,81 @@
-//! How much likelier what a version showed is if it has a flaw than if it has none.
+//! Likelihood ratio of the outcomes of a version's calls with a flaw to those without.
 //!
-//! A flaw hits all upstreams of the version alike, in one class of calls or in all, since it began
-//! or since a short time. A fault hits some upstreams, whatever they run. Both are weighed together,
-//! so no upstream has to be left out, and the ratio may be looked at as often as wanted: averaged over
-//! flaws it exceeds R for a sound version once in R runs at most (Ville's inequality), as far as the
-//! usual rates are right.
-
-use crate::health::{ByState, Period, Periods, StateChances, StateRates};
-use crate::outcomes::{Harm, Rates};
-use crate::usual::{ClassCounts, Usual};
-
-/// The flaws that are looked for: what they do to calls.
-const HARMS: [Harm; 6] = [
-    Harm::Fails(0.12),
-    Harm::Fails(0.25),
-    Harm::Fails(0.5),
-    Harm::Slows(0.12),
-    Harm::Slows(0.25),
-    Harm::Slows(0.5),
+//! A flaw affects all upstreams of the version alike, in one class of calls or in all, from the start or
+//! since recently. A fault affects some upstreams, whatever they run. Both are part of the model, so no
+//! upstream has to be excluded. The ratio may be checked any number of times: averaged over the flaws,
+//! it exceeds R for a sound version in at most one of R runs (Ville's inequality), as far as the
+//! baseline rates are correct.
+
+use crate::health::{Period, Periods, StateLogLikelihoods, StateLogRates, StateProbabilities};
+use crate::outcomes::{Effect, Rates};
+use crate::usual::{Baseline, ClassCounts};
+
+/// Effects on calls of the flaws that are tested for.
+const EFFECTS: [Effect; 6] = [
+    Effect::Fails(0.12),
+    Effect::Fails(0.25),
+    Effect::Fails(0.5),
+    Effect::Slows(0.12),
+    Effect::Slows(0.25),
+    Effect::Slows(0.5),
 ];
-/// Part of the upstreams of the version that may be ill; a version of which more are is not fit.
-const MOST_ILL: f64 = 0.5;
-/// Chance that a flaw hits one class only, where there are several.
-const ONE_CLASS: f64 = 0.5;
-/// Chance that a flaw showed in the recent past only.
-const RECENT: f64 = 0.2;
-
-/// A flaw of the version.
+/// Maximum fraction of the upstreams of the version that may be degraded; a version with more is not
+/// fit.
+const MAX_DEGRADED: f64 = 0.5;
+/// Prior probability that a flaw affects only one class, if there are several.
+const ONE_CLASS_PROBABILITY: f64 = 0.5;
+/// Prior probability that a flaw began in the recent period.
+const RECENT_PROBABILITY: f64 = 0.2;
+
+/// A hypothetical flaw of the version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Hypothesis {
-    harm: Harm,
-    /// The class that it hits, by its place; all of them if none.
+    effect: Effect,
+    /// Index of the affected class; `None` for all classes.
     class: Option<usize>,
-    /// When it began: with the version, or lately.
+    /// The period in which it began; `Earlier` stands for the start of the version.
     began: Period,
 }
 
-/// The ratio, and what speaks most for a flaw.
+/// The likelihood ratio, and the class that is the strongest evidence for a flaw.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Ratio {
-    /// Over 1: likelier with a flaw.
+pub(crate) struct LikelihoodRatio {
+    /// Above 1 if the calls are likelier with a flaw.
     pub value: f64,
-    /// The class of the likeliest flaw that hits only one; none if it hits all alike.
+    /// Class affected by the likeliest flaw; `None` if it affects all classes.
     pub class: Option<usize>,
 }
 
-/// Weighs all flaws against none. Upstreams must have the same classes, `classes` of them.
-pub(crate) fn ratio(candidate: &[ClassCounts], usual: &Usual, classes: usize) -> Ratio {
-    let called: Vec<&ClassCounts> = candidate.iter().filter(|counts| was_called(counts)).collect();
-    let chances = StateChances::new(usual.ill);
-    let sound = Reading::new(usual, None);
-    let sound: Vec<ClassLogs> = called.iter().map(|counts| sound.of(counts)).collect();
-    let most_ill = (called.len() as f64 * MOST_ILL) as usize;
-    let without = without_flaw(&sound, &chances, most_ill);
-    let mut ratio = Ratio { value: 0.0, class: None };
-    let mut likeliest = f64::MIN;
-    for harm in HARMS {
-        let reading = Reading::new(usual, Some(harm));
-        let flawed: Vec<ClassLogs> = called.iter().map(|counts| reading.of(counts)).collect();
-        for hypothesis in hypotheses(harm, classes) {
-            let mut likelihood = Sum::default();
+/// Likelihood ratio of all flaws together to none. All upstreams must have the same classes; `classes`
+/// is their number.
+pub(crate) fn likelihood_ratio(
+    candidate: &[ClassCounts],
+    baseline: &Baseline,
+    classes: usize,
+) -> LikelihoodRatio {
+    let called: Vec<&ClassCounts> = candidate.iter().filter(|counts| has_calls(counts)).collect();
+    let probabilities = StateProbabilities::new(baseline.degraded);
+    let sound_model = CallModel::new(baseline, None);
+    let sound: Vec<UpstreamLogLikelihoods> =
+        called.iter().map(|counts| sound_model.log_likelihoods(counts)).collect();
+    let max_degraded = (called.len() as f64 * MAX_DEGRADED) as usize;
+    let log_without_flaw = log_likelihood_without_flaw(&sound, &probabilities, max_degraded);
+    let mut ratio = LikelihoodRatio { value: 0.0, class: None };
+    let mut max_log_ratio = f64::MIN;
+    for effect in EFFECTS {
+        let model = CallModel::new(baseline, Some(effect));
+        let flawed: Vec<UpstreamLogLikelihoods> =
+            called.iter().map(|counts| model.log_likelihoods(counts)).collect();
+        for hypothesis in hypotheses(effect, classes) {
+            let mut likelihood = TotalLikelihood::default();
             for (sound, flawed) in sound.iter().zip(&flawed) {
-                likelihood.add(&chances, &hypothesis.read(sound, flawed));
+                likelihood.add(&probabilities, &hypothesis.log_likelihoods(sound, flawed));
             }
-            let log = likelihood.total(most_ill) - without + hypothesis.chance(classes).ln();
-            ratio.value += log.exp();
-            if log > likeliest {
-                likeliest = log;
+            let log_ratio =
+                likelihood.total(max_degraded) - log_without_flaw + hypothesis.prior(classes).ln();
+            ratio.value += log_ratio.exp();
+            if log_ratio > max_log_ratio {
+                max_log_ratio = log_ratio;
                 ratio.class = hypothesis.class;
             }
         }
@@ -74,44 +83,52 @@
     ratio
 }
 
-fn was_called(counts: &ClassCounts) -> bool {
-    counts.iter().any(|counts| (counts.before + counts.since).ended() > 0.0)
+fn has_calls(counts: &ClassCounts) -> bool {
+    counts.iter().any(|counts| (counts.earlier + counts.recent).ended() > 0.0)
 }
 
-fn without_flaw(sound: &[ClassLogs], chances: &StateChances, most_ill: usize) -> f64 {
-    let mut likelihood = Sum::default();
+fn log_likelihood_without_flaw(
+    sound: &[UpstreamLogLikelihoods],
+    probabilities: &StateProbabilities,
+    max_degraded: usize,
+) -> f64 {
+    let mut likelihood = TotalLikelihood::default();
     for upstream in sound {
-        likelihood.add(chances, &upstream.all);
+        likelihood.add(probabilities, &upstream.all);
     }
-    likelihood.total(most_ill)
+    likelihood.total(max_degraded)
 }
 
-fn hypotheses(harm: Harm, classes: usize) -> impl Iterator<Item = Hypothesis> {
+fn hypotheses(effect: Effect, classes: usize) -> impl Iterator<Item = Hypothesis> {
     let single = if classes > 1 { classes } else { 0 };
-    let which = std::iter::once(None).chain((0..single).map(Some));
-    which.flat_map(move |class| {
-        [Period::Before, Period::Since].map(|began| Hypothesis { harm, class, began })
+    let affected = std::iter::once(None).chain((0..single).map(Some));
+    affected.flat_map(move |class| {
+        [Period::Earlier, Period::Recent].map(|began| Hypothesis { effect, class, began })
     })
 }
 
 impl Hypothesis {
-    /// Its chance among all flaws.
-    fn chance(&self, classes: usize) -> f64 {
+    /// Prior probability of this flaw among all flaws.
+    fn prior(&self, classes: usize) -> f64 {
         let began = match self.began {
-            Period::Before => 1.0 - RECENT,
-            Period::Since => RECENT,
+            Period::Earlier => 1.0 - RECENT_PROBABILITY,
+            Period::Recent => RECENT_PROBABILITY,
         };
         let class = match self.class {
-            Some(_) => ONE_CLASS / classes as f64,
-            None if classes > 1 => 1.0 - ONE_CLASS,
+            Some(_) => ONE_CLASS_PROBABILITY / classes as f64,
+            None if classes > 1 => 1.0 - ONE_CLASS_PROBABILITY,
             None => 1.0,
         };
-        began * class / HARMS.len() as f64
+        began * class / EFFECTS.len() as f64
     }
 
-    /// The calls of one upstream, read with this flaw where it was there.
-    fn read(&self, sound: &ClassLogs, flawed: &ClassLogs) -> Periods<ByState> {
-        let all = |period: Period| match self.class {
+    /// Log-likelihoods of one upstream's calls with this flaw in the classes and periods that it affects.
+    fn log_likelihoods(
+        &self,
+        sound: &UpstreamLogLikelihoods,
+        flawed: &UpstreamLogLikelihoods,
+    ) -> Periods<StateLogLikelihoods> {
+        let with_flaw = |period: Period| match self.class {
             None => *flawed.all.get(period),
             Some(class) => sound
                 .all
@@ -119,66 +136,76 @@
                 .minus(sound.classes[class].get(period))
                 .plus(flawed.classes[class].get(period)),
         };
-        let before = match self.began {
-            Period::Before => all(Period::Before),
-            Period::Since => sound.all.before,
+        let earlier = match self.began {
+            Period::Earlier => with_flaw(Period::Earlier),
+            Period::Recent => sound.all.earlier,
         };
-        Periods { before, since: all(Period::Since) }
+        Periods { earlier, recent: with_flaw(Period::Recent) }
     }
 }
 
-/// Rates by which the calls of a version are read.
-struct Reading {
-    rates: Vec<Periods<StateRates>>,
+/// Outcome rates of each class by which the likelihoods of calls are computed.
+struct CallModel {
+    rates: Vec<Periods<StateLogRates>>,
 }
 
-impl Reading {
-    fn new(usual: &Usual, harm: Option<Harm>) -> Self {
-        let of = |rates: &Rates| StateRates::new(harm.map_or(*rates, |harm| rates.worsened(harm)));
-        Reading { rates: usual.rates.iter().map(|rates| rates.map(of)).collect() }
+impl CallModel {
+    fn new(baseline: &Baseline, effect: Option<Effect>) -> Self {
+        let state_rates = |rates: &Rates| {
+            StateLogRates::new(effect.map_or(*rates, |effect| rates.with_effect(effect)))
+        };
+        CallModel { rates: baseline.rates.iter().map(|rates| rates.map(state_rates)).collect() }
     }
 
-    fn of(&self, counts: &ClassCounts) -> ClassLogs {
-        let classes: Vec<Periods<ByState>> = counts
+    fn log_likelihoods(&self, counts: &ClassCounts) -> UpstreamLogLikelihoods {
+        let classes: Vec<Periods<StateLogLikelihoods>> = counts
             .iter()
             .zip(&self.rates)
             .map(|(counts, rates)| Periods {
-                before: rates.before.of(&counts.before),
-                since: rates.since.of(&counts.since),
+                earlier: rates.earlier.log_likelihoods(&counts.earlier),
+                recent: rates.recent.log_likelihoods(&counts.recent),
             })
             .collect();
-        let all = classes.iter().fold(Periods::default(), |sum: Periods<ByState>, class| Periods {
-            before: sum.before.plus(&class.before),
-            since: sum.since.plus(&class.since),
-        });
-        ClassLogs { all, classes }
+        let all =
+            classes.iter().fold(Periods::default(), |sum: Periods<StateLogLikelihoods>, class| {
+                Periods {
+                    earlier: sum.earlier.plus(&class.earlier),
+                    recent: sum.recent.plus(&class.recent),
+                }
+            });
+        UpstreamLogLikelihoods { all, classes }
     }
 }
 
-/// The logarithms of the likelihoods of one upstream's calls.
-struct ClassLogs {
-    all: Periods<ByState>,
-    classes: Vec<Periods<ByState>>,
+/// Log-likelihoods of one upstream's calls: of all, and by class.
+struct UpstreamLogLikelihoods {
+    all: Periods<StateLogLikelihoods>,
+    classes: Vec<Periods<StateLogLikelihoods>>,
 }
 
-/// The likelihood of the calls of all upstreams of a version.
+/// Likelihood of the calls of all upstreams of a version.
 #[derive(Default)]
-struct Sum {
-    well: f64,
-    /// What it gains for each upstream if that may be ill, logarithms.
+struct TotalLikelihood {
+    /// Log-likelihood with all upstreams healthy.
+    healthy: f64,
+    /// Gain in log-likelihood for each upstream if that one may be degraded.
     gains: Vec<f64>,
 }
 
-impl Sum {
-    fn add(&mut self, chances: &StateChances, told: &Periods<ByState>) {
-        let likelihood = chances.likelihood(told);
-        self.well += likelihood.well;
-        self.gains.push(likelihood.any - likelihood.well);
+impl TotalLikelihood {
+    fn add(
+        &mut self,
+        probabilities: &StateProbabilities,
+        log_likelihoods: &Periods<StateLogLikelihoods>,
+    ) {
+        let likelihood = probabilities.likelihood(log_likelihoods);
+        self.healthy += likelihood.healthy;
+        self.gains.push(likelihood.any - likelihood.healthy);
     }
 
-    /// The logarithm, with those for ill that look most so.
-    fn total(mut self, most_ill: usize) -> f64 {
+    /// Log-likelihood with up to `max_degraded` upstreams, those with the largest gains, degraded.
+    fn total(mut self, max_degraded: usize) -> f64 {
         self.gains.sort_by(|left, right| right.total_cmp(left));
-        self.well + self.gains.iter().take(most_ill).sum::<f64>()
+        self.healthy + self.gains.iter().take(max_degraded).sum::<f64>()
     }
 }
--- a/crates/canary/src/outcomes.rs
+++ b/crates/canary/src/outcomes.rs
@@ -1,22 +1,22 @@
-//! What became of calls, counted and as chances, and how a flaw changes the chances.
+//! Outcomes of calls as counts and as probabilities, and the effect of a flaw on the probabilities.
 
 use mesh::ClassOutcomes;
 use std::ops::{Add, Sub};
 
-/// Calls by what became of them. Not whole where an upstream counts in part.
+/// Numbers of calls by outcome; fractional if an upstream is counted with a weight below one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Counts {
     pub failed: f64,
-    /// Answered, but after several times the usual time.
+    /// Answered, but several times slower than the median.
     pub slow: f64,
     /// Answered in time.
     pub fine: f64,
 }
 
 impl Counts {
-    /// Answers in bins from `slow_from` on are slow.
-    pub fn of(outcomes: &ClassOutcomes, slow_from: usize) -> Self {
-        let slow = outcomes.answered_from(slow_from);
+    /// Counts the outcomes; answers in bins from `first_slow_bin` on are slow.
+    pub fn of(outcomes: &ClassOutcomes, first_slow_bin: usize) -> Self {
+        let slow = outcomes.answered_from(first_slow_bin);
         let fine = outcomes.ended() - outcomes.failed - slow;
         Counts { failed: outcomes.failed.into(), slow: slow.into(), fine: fine.into() }
     }
@@ -58,16 +58,16 @@
     }
 }
 
-/// What a flaw or a fault does to calls; the part of them that it hits, 0 to 1.
+/// Effect of a flaw or a fault on calls, with the fraction of calls affected, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Harm {
-    /// They fail.
+pub(crate) enum Effect {
+    /// The calls fail.
     Fails(f64),
-    /// Their answers are slow.
+    /// The answers are slow.
     Slows(f64),
 }
 
-/// The chance of each outcome of a call; they sum to 1 and none is 0.
+/// Probabilities of the outcomes of a call; they sum to 1 and none is 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Rates {
     failed: f64,
@@ -76,14 +76,14 @@
 }
 
 impl Rates {
-    /// The parts of some calls. `counts` must have calls of each outcome.
+    /// Relative frequencies of the outcomes, none of which may have a count of 0.
     pub fn of(counts: Counts) -> Self {
-        let part = counts.times(1.0 / counts.ended());
-        Rates { failed: part.failed, slow: part.slow, fine: part.fine }
+        let frequencies = counts.times(1.0 / counts.ended());
+        Rates { failed: frequencies.failed, slow: frequencies.slow, fine: frequencies.fine }
     }
 
-    /// As many calls as `count`, at these rates.
-    pub fn calls(self, count: f64) -> Counts {
+    /// Expected outcomes of `count` calls at these rates.
+    pub fn expected_counts(self, count: f64) -> Counts {
         Counts { failed: self.failed, slow: self.slow, fine: self.fine }.times(count)
     }
 
@@ -91,23 +91,23 @@
         self.failed + self.slow
     }
 
-    /// The chances where some calls are harmed besides.
-    pub fn worsened(self, harm: Harm) -> Self {
-        match harm {
-            Harm::Fails(part) => Rates {
-                failed: self.failed + part * (1.0 - self.failed),
-                slow: self.slow * (1.0 - part),
-                fine: self.fine * (1.0 - part),
+    /// The probabilities if some calls are additionally affected.
+    pub fn with_effect(self, effect: Effect) -> Self {
+        match effect {
+            Effect::Fails(fraction) => Rates {
+                failed: self.failed + fraction * (1.0 - self.failed),
+                slow: self.slow * (1.0 - fraction),
+                fine: self.fine * (1.0 - fraction),
             },
-            Harm::Slows(part) => Rates {
+            Effect::Slows(fraction) => Rates {
                 failed: self.failed,
-                slow: self.slow + part * self.fine,
-                fine: self.fine * (1.0 - part),
+                slow: self.slow + fraction * self.fine,
+                fine: self.fine * (1.0 - fraction),
             },
         }
     }
 
-    pub fn logarithms(self) -> LogRates {
+    pub fn logs(self) -> LogRates {
         LogRates { failed: self.failed.ln(), slow: self.slow.ln(), fine: self.fine.ln() }
     }
 }
@@ -121,8 +121,8 @@
 }
 
 impl LogRates {
-    /// The logarithm of the likelihood of these outcomes, in a given order.
-    pub fn of(&self, counts: &Counts) -> f64 {
+    /// Log-likelihood of these outcomes in a given order.
+    pub fn log_likelihood(&self, counts: &Counts) -> f64 {
         counts.failed * self.failed + counts.slow * self.slow + counts.fine * self.fine
     }
 }
--- a/crates/canary/src/usual.rs
+++ b/crates/canary/src/usual.rs
@@ -1,92 +1,109 @@
-//! What is usual with the versions in use: the rates of their upstreams that are well, and how many
-//! are ill (expectation maximization over the states of the upstreams).
+//! The baseline of the versions in use: the outcome rates of their healthy upstreams and the fractions
+//! of degraded upstreams, estimated by expectation maximization over the states of the upstreams.
 
-use crate::health::{IllParts, Periods, StateChances, StateRates};
+use crate::health::{DegradedFractions, Periods, StateLogRates, StateProbabilities};
 use crate::outcomes::{Counts, Rates};
 
-/// Rounds of expectation and maximization: the rates move little after the third.
-const ROUNDS: usize = 4;
-/// Part of the upstreams taken for ill where nothing is known.
-const ILL_PRIOR: f64 = 0.1;
-/// Upstreams that this is worth.
+/// Iterations of expectation maximization; the rates change little after the third.
+const ITERATIONS: usize = 4;
+/// Prior fraction of degraded upstreams.
+const DEGRADED_PRIOR: f64 = 0.1;
+/// Weight of that prior, in upstreams.
 const PRIOR_UPSTREAMS: f64 = 5.0;
-/// Calls by which the rates of a period are drawn to those of all times.
-const SHARED_CALLS: f64 = 20.0;
-/// Calls believed of each class before any came: none of the rates is ever 0.
+/// Weight of the rates of both periods together in those of one period, in calls.
+const POOLED_CALLS: f64 = 20.0;
+/// Prior outcomes of each class, such that no rate is ever 0.
 const PRIOR_CALLS: Counts = Counts { failed: 0.5, slow: 0.5, fine: 1.0 };
 
 /// The calls of one upstream, by class.
 pub(crate) type ClassCounts = Vec<Periods<Counts>>;
 
-/// What is usual.
+/// The baseline of the versions in use.
 #[derive(Clone, Debug)]
-pub(crate) struct Usual {
-    /// For each class, at an upstream that is well.
+pub(crate) struct Baseline {
+    /// Outcome rates of each class at a healthy upstream.
     pub rates: Vec<Periods<Rates>>,
-    pub ill: IllParts,
+    /// Fractions of degraded upstreams.
+    pub degraded: DegradedFractions,
 }
 
-impl Usual {
-    /// Learns it from the upstreams of the versions in use.
-    pub fn learn(stable: &[ClassCounts], classes: usize) -> Self {
-        let nobody = IllParts { failing: 0.0, slow: 0.0 };
-        let mut states = vec![Periods { before: nobody, since: nobody }; stable.len()];
-        let half = ILL_PRIOR / 2.0;
-        let mut usual = Usual {
+impl Baseline {
+    /// Estimates the baseline from the upstreams of the versions in use.
+    pub fn estimate(stable: &[ClassCounts], classes: usize) -> Self {
+        let none = DegradedFractions { failing: 0.0, slow: 0.0 };
+        let mut states = vec![Periods { earlier: none, recent: none }; stable.len()];
+        let half = DEGRADED_PRIOR / 2.0;
+        let mut baseline = Baseline {
             rates: rates(stable, &states, classes),
-            ill: IllParts { failing: half, slow: half },
+            degraded: DegradedFractions { failing: half, slow: half },
         };
-        for _ in 0..ROUNDS {
-            states = usual.states(stable);
-            usual = Usual { rates: rates(stable, &states, classes), ill: ill_parts(&states) };
+        for _ in 0..ITERATIONS {
+            states = baseline.states(stable);
+            baseline = Baseline {
+                rates: rates(stable, &states, classes),
+                degraded: degraded_fractions(&states),
+            };
         }
-        usual
+        baseline
     }
 
-    /// How likely each upstream is ill.
-    fn states(&self, stable: &[ClassCounts]) -> Vec<Periods<IllParts>> {
-        let chances = StateChances::new(self.ill);
-        let rates: Vec<Periods<StateRates>> =
-            self.rates.iter().map(|rates| rates.map(|rates| StateRates::new(*rates))).collect();
+    /// Posterior probabilities that each upstream is degraded.
+    fn states(&self, stable: &[ClassCounts]) -> Vec<Periods<DegradedFractions>> {
+        let probabilities = StateProbabilities::new(self.degraded);
+        let rates: Vec<Periods<StateLogRates>> =
+            self.rates.iter().map(|rates| rates.map(|rates| StateLogRates::new(*rates))).collect();
         let of_upstream = |classes: &ClassCounts| {
-            let mut told = Periods::default();
+            let mut log_likelihoods = Periods::default();
             for (counts, rates) in classes.iter().zip(&rates) {
-                told = Periods {
-                    before: rates.before.of(&counts.before).plus(&told.before),
-                    since: rates.since.of(&counts.since).plus(&told.since),
+                log_likelihoods = Periods {
+                    earlier: rates
+                        .earlier
+                        .log_likelihoods(&counts.earlier)
+                        .plus(&log_likelihoods.earlier),
+                    recent: rates
+                        .recent
+                        .log_likelihoods(&counts.recent)
+                        .plus(&log_likelihoods.recent),
                 };
             }
-            chances.after(&told)
+            probabilities.posterior(&log_likelihoods)
         };
         stable.iter().map(of_upstream).collect()
     }
 }
 
-fn ill_parts(states: &[Periods<IllParts>]) -> IllParts {
+fn degraded_fractions(states: &[Periods<DegradedFractions>]) -> DegradedFractions {
     let upstreams = states.len() as f64 + PRIOR_UPSTREAMS;
-    let part = |of: fn(&IllParts) -> f64| {
-        let told: f64 = states.iter().map(|ill| (of(&ill.before) + of(&ill.since)) / 2.0).sum();
-        (told + ILL_PRIOR / 2.0 * PRIOR_UPSTREAMS) / upstreams
+    let fraction = |value: fn(&DegradedFractions) -> f64| {
+        let observed: f64 = states
+            .iter()
+            .map(|degraded| (value(&degraded.earlier) + value(&degraded.recent)) / 2.0)
+            .sum();
+        (observed + DEGRADED_PRIOR / 2.0 * PRIOR_UPSTREAMS) / upstreams
     };
-    IllParts { failing: part(|ill| ill.failing), slow: part(|ill| ill.slow) }
+    DegradedFractions {
+        failing: fraction(|degraded| degraded.failing),
+        slow: fraction(|degraded| degraded.slow),
+    }
 }
 
-/// The rates of each class at upstreams that are well; one that may be ill counts in part.
+/// Outcome rates of each class at healthy upstreams; each upstream is weighted by its probability of
+/// being healthy.
 fn rates(
     stable: &[ClassCounts],
-    states: &[Periods<IllParts>],
+    states: &[Periods<DegradedFractions>],
     classes: usize,
 ) -> Vec<Periods<Rates>> {
     let of_class = |class: usize| {
-        let mut well = Periods::<Counts>::default();
-        for (upstream, ill) in stable.iter().zip(states) {
-            let weight = ill.map(|ill| 1.0 - ill.failing - ill.slow);
+        let mut healthy = Periods::<Counts>::default();
+        for (upstream, degraded) in stable.iter().zip(states) {
+            let weight = degraded.map(|degraded| 1.0 - degraded.failing - degraded.slow);
             let counts = &upstream[class];
-            well.before = well.before + counts.before.times(weight.before);
-            well.since = well.since + counts.since.times(weight.since);
+            healthy.earlier = healthy.earlier + counts.earlier.times(weight.earlier);
+            healthy.recent = healthy.recent + counts.recent.times(weight.recent);
         }
-        let pooled = Rates::of(well.before + well.since + PRIOR_CALLS);
-        well.map(|counts| Rates::of(*counts + pooled.calls(SHARED_CALLS)))
+        let pooled = Rates::of(healthy.earlier + healthy.recent + PRIOR_CALLS);
+        healthy.map(|counts| Rates::of(*counts + pooled.expected_counts(POOLED_CALLS)))
     };
     (0..classes).map(of_class).collect()
 }
