--- a/crates/bundle/src/approval.rs
+++ b/crates/bundle/src/approval.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ApprovalError {
     /// No key is listed for the operator.
-    #[snafu(display("operator '{operator}' is unknown"))]
+    #[snafu(display("operator '{operator}' is not known here"))]
     UnknownOperator {
         /// Name of the operator.
         operator: String,
--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -49,9 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum UpdateError {
     /// The delta applies to another bundle.
-    #[snafu(display(
-        "the delta applies to bundle {base:?}, but the current bundle is {current:?}"
-    ))]
+    #[snafu(display("the delta starts from {base:?}, not from {current:?}"))]
     WrongBase {
         /// Digest of the delta's base.
         base: Digest,
--- a/crates/bundle/src/seal.rs
+++ b/crates/bundle/src/seal.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SealError {
     /// The sealing key of the secret is not available.
-    #[snafu(display("secret '{name}' is sealed with key {key_id}, which is not available"))]
+    #[snafu(display("secret '{name}' is sealed with key {key_id}, which is not held here"))]
     UnknownKey {
         /// Name of the secret.
         name: String,
@@ -40,7 +40,7 @@
     },
     /// Authentication failed, for example because the value was modified or sealed under another
     /// name.
-    #[snafu(display("secret '{name}' cannot be decrypted with key {key_id}"))]
+    #[snafu(display("secret '{name}' does not open with key {key_id}"))]
     DoesNotOpen {
         /// Name of the secret.
         name: String,
--- a/crates/chutecove/src/dialect.rs
+++ b/crates/chutecove/src/dialect.rs
@@ -180,8 +180,7 @@
         body: &[u8],
     ) -> Result<Replacement, String> {
         let expected = precondition.and_then(|text| text.trim().parse().ok());
-        let expected_version =
-            expected.ok_or("If-Match must hold the version that the new one is based on")?;
+        let expected_version = expected.ok_or("If-Match must hold the version it builds on")?;
         let (version, bundle) = read_document(body)?;
         Ok(Replacement { expected_version, version, bundle })
     }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -124,11 +124,7 @@
     let read = reader.take(MAX_BODY_BYTES + 1).read_to_end(&mut body);
     read.map_err(|cause| error(400, "body_unreadable", cause))?;
     if body.len() as u64 > MAX_BODY_BYTES {
-        return Err(error(
-            413,
-            "body_too_large",
-            format!("the request body exceeds {MAX_BODY_BYTES} bytes"),
-        ));
+        return Err(error(413, "body_too_large", format!("at most {MAX_BODY_BYTES} bytes")));
     }
     Ok(body)
 }
@@ -306,7 +302,7 @@
     let digest: Digest = digest.parse().map_err(|cause| error(400, "bad_digest", cause))?;
     let published = api.groups.config.lock();
     let stored = published.machine.0.bundle(&digest);
-    let stored = stored.ok_or_else(|| error(404, "unknown_bundle", "no bundle has this digest"))?;
+    let stored = stored.ok_or_else(|| error(404, "unknown_bundle", "no such bundle"))?;
     let objects = stored.bundle.objects().values().map(|hashed| object_view(&hashed.object));
     Ok(Response::json(&objects.collect::<Vec<_>>()))
 }
@@ -379,7 +375,7 @@
         0 => change_group(&api.groups.config, body.change),
         group => match api.groups.claims.get(group as usize - 1) {
             Some(replica) => change_group(replica, body.change),
-            None => return Err(error(404, "no_such_group", "no claim group has this number")),
+            None => return Err(error(404, "no_such_group", "no such group")),
         },
     };
     changed.map_err(|cause| request_error(api, &cause))?;
--- a/crates/control/src/authentication.rs
+++ b/crates/control/src/authentication.rs
@@ -30,15 +30,13 @@
         header: &'static str,
     },
     /// The value of a header cannot be parsed.
-    #[snafu(display("header {header} is malformed"))]
+    #[snafu(display("header {header} cannot be read"))]
     Malformed {
         /// Name of the header.
         header: &'static str,
     },
     /// The signing time is too far from the local clock.
-    #[snafu(display(
-        "the signing time differs from the server's clock by more than {MAX_CLOCK_SKEW_S} s"
-    ))]
+    #[snafu(display("the signature's time differs by more than {MAX_CLOCK_SKEW_S} s"))]
     Expired,
     /// The signature could not be verified.
     #[snafu(display("{source}"))]
--- a/crates/control/src/replica/driver.rs
+++ b/crates/control/src/replica/driver.rs
@@ -464,10 +464,9 @@
 fn request_error(error: ProposeError) -> RequestError {
     match error {
         ProposeError::NotLeader { leader } => RequestError::NotLeader { leader },
-        ProposeError::NotReady => RequestError::Refused {
-            reason: "leadership is being transferred or the term has no committed entry yet"
-                .to_owned(),
-        },
+        ProposeError::NotReady => {
+            RequestError::Refused { reason: "the leader is handing over its office".to_owned() }
+        }
         ProposeError::Membership { source } => RequestError::Refused { reason: source.to_string() },
     }
 }
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -291,7 +291,7 @@
         generation: u64,
     },
     /// No rollout of the generation is at the given stage.
-    #[snafu(display("no rollout of generation {generation} is at that stage"))]
+    #[snafu(display("no rollout of generation {generation} waits at that stage"))]
     NoSuchRollout {
         /// The generation in the command.
         generation: u64,
@@ -325,7 +325,7 @@
         current: u64,
     },
     /// There is no earlier content to return to.
-    #[snafu(display("there is no earlier configuration to return to"))]
+    #[snafu(display("there is nothing to return to"))]
     NothingToWithdraw,
     /// The request id was already used for another command.
     #[snafu(display("request id '{request_id}' was used for another command"))]
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -433,10 +433,7 @@
         |error: bundle::UpdateError| InvalidBundleSnafu { problem: error.to_string() }.build();
     let bundle = update.apply(base).map_err(invalid)?;
     let digest_matches = bundle.digest() == digest;
-    ensure!(
-        digest_matches,
-        InvalidBundleSnafu { problem: "the content does not match the digest" }
-    );
+    ensure!(digest_matches, InvalidBundleSnafu { problem: "the content does not have its digest" });
     Ok(bundle)
 }
 
--- a/crates/rollout/src/machine/canaries.rs
+++ b/crates/rollout/src/machine/canaries.rs
@@ -61,13 +61,10 @@
         }
         let length = 1..=MAX_VERSION_BYTES;
         let valid_name = length.contains(&version.len());
-        ensure!(valid_name, BadCanarySnafu { reason: "a version name must have 1 to 128 bytes" });
+        ensure!(valid_name, BadCanarySnafu { reason: "a version has a name of 1 to 128 bytes" });
         let valid_duration = (1..=MAX_DURATION_MS).contains(&duration_ms);
-        ensure!(valid_duration, BadCanarySnafu { reason: "a canary must last 1 ms to 7 days" });
-        ensure!(
-            service_exists,
-            BadCanarySnafu { reason: format!("service {service} does not exist") }
-        );
+        ensure!(valid_duration, BadCanarySnafu { reason: "a canary lasts up to a week" });
+        ensure!(service_exists, BadCanarySnafu { reason: format!("no service {service}") });
         let mut barred = previous.map_or_else(Vec::new, |previous| previous.barred.clone());
         barred.retain(|barred_version| barred_version != version);
         let version = version.to_owned();
--- a/crates/rollout/src/machine/evacuations.rs
+++ b/crates/rollout/src/machine/evacuations.rs
@@ -32,12 +32,12 @@
     /// Evacuates a zone. If it is already evacuated, the command is acknowledged and changes nothing.
     pub fn start(&mut self, index: u64, zone: &str, ordered_ms: u64) -> Answer {
         let valid_name = (1..=MAX_ZONE_NAME_BYTES).contains(&zone.len());
-        ensure!(valid_name, BadZoneSnafu { reason: "a zone name must have 1 to 128 bytes" });
+        ensure!(valid_name, BadZoneSnafu { reason: "a zone has a name of 1 to 128 bytes" });
         if self.zones.contains_key(zone) {
             return Ok(Accepted::ZoneEvacuated { zone: zone.to_owned() });
         }
         let below_limit = self.zones.len() < MAX_EVACUATED_ZONES;
-        ensure!(below_limit, BadZoneSnafu { reason: "64 zones are already evacuated" });
+        ensure!(below_limit, BadZoneSnafu { reason: "64 zones are evacuated already" });
         self.zones.insert(zone.to_owned(), EvacuationRecord { ordered_ms });
         self.revision = index;
         Ok(Accepted::ZoneEvacuated { zone: zone.to_owned() })
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -36,7 +36,7 @@
         let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         let valid = !value.is_empty() && value.len() <= 63 && value.chars().all(allowed);
         if !valid {
-            let reason = format!("'{value}' is not 1 to 63 characters of a-z, 0-9 and -");
+            let reason = format!("'{value}' is not 1 to 63 characters out of a-z 0-9 -");
             self.problem(field, reason);
         }
     }
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -103,7 +103,7 @@
 
 /// Serializes settings as TOML, with defaults filled in.
 pub fn to_toml<T: Serialize>(settings: &T) -> String {
-    toml::to_string(settings).unwrap_or_else(|error| format!("# cannot be serialized: {error}\n"))
+    toml::to_string(settings).unwrap_or_else(|error| format!("# cannot be printed: {error}\n"))
 }
 
 /// An operator with a public key and roles.
@@ -139,7 +139,7 @@
             checks.require(
                 "operator.roles",
                 valid_roles,
-                "allowed are submit, approve, roll, members",
+                "may hold submit, approve, roll, members",
             );
         }
     }
