--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -124,7 +124,7 @@
                 let first = &outcome.violations[0];
                 serde_json::json!({
                     "seed": seed, "scenario": scenario.as_str(),
-                    "invariant": first.invariant, "what": first.what, "at_ms": first.at_ms,
+                    "invariant": first.invariant, "what": first.details, "at_ms": first.at_ms,
                 })
             })
             .collect();
@@ -141,7 +141,7 @@
         let first = &outcome.violations[0];
         println!(
             "seed {seed} ({scenario}) broke {} at {} ms: {}",
-            first.invariant, first.at_ms, first.what
+            first.invariant, first.at_ms, first.details
         );
         let broken = request.broken.map(|variant| format!(" --broken {variant}"));
         println!(
--- a/crates/lab/src/soak/callers.rs
+++ b/crates/lab/src/soak/callers.rs
@@ -7,7 +7,7 @@
 use super::operator::{BASE_HOST, BASE_PATH};
 use super::upstream::{answer_to, ID_HEADER, POISON};
 use http1::Headers;
-use soak::{Call, End};
+use soak::{Call, CallOutcome};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -113,16 +113,16 @@
         let bytes = if upload { fastrand::usize(UPLOAD_BYTES) } else { 0 };
         let body: Vec<u8> = (0..bytes).map(|place| (place as u64 * 7 + id) as u8).collect();
         let sent = self.clock.now();
-        let end = match &mut self.kept {
+        let outcome = match &mut self.kept {
             Some(kept) => ask_on(kept, id, &path),
             None => self.ask(id, &path, &body),
         };
         let ended = self.clock.now();
         let repeatable = repeatable || version.is_some();
-        self.calls.push(Call { id, machine: self.host, repeatable, version, sent, ended, end });
+        self.calls.push(Call { id, machine: self.host, repeatable, version, sent, ended, outcome });
     }
 
-    fn ask(&self, id: u64, path: &str, body: &[u8]) -> End {
+    fn ask(&self, id: u64, path: &str, body: &[u8]) -> CallOutcome {
         let url = format!("{}{path}", self.base);
         let (agent, id_text) = (super::agent(), id.to_string());
         let answered = match body.is_empty() {
@@ -132,31 +132,36 @@
             }
         };
         match answered {
-            Err(ureq::Error::ConnectionFailed | ureq::Error::HostNotFound) => End::NotConnected,
-            Err(ureq::Error::Io(error)) if is_refused(&error) => End::NotConnected,
-            Err(_) => End::Cut,
+            Err(ureq::Error::ConnectionFailed | ureq::Error::HostNotFound) => {
+                CallOutcome::NotConnected
+            }
+            Err(ureq::Error::Io(error)) if is_refused(&error) => CallOutcome::NotConnected,
+            Err(_) => CallOutcome::Cut,
             Ok(mut resp) => {
                 let status = resp.status().as_u16();
                 match resp.body_mut().read_to_string() {
-                    Ok(text) => End::Answered { status, whole: text == answer_to(id, path, body) },
-                    Err(_) => End::Cut,
+                    Ok(text) => CallOutcome::Answered {
+                        status,
+                        body_matches: text == answer_to(id, path, body),
+                    },
+                    Err(_) => CallOutcome::Cut,
                 }
             }
         }
     }
 }
 
-fn ask_on(kept: &mut KeptConnection, id: u64, path: &str) -> End {
+fn ask_on(kept: &mut KeptConnection, id: u64, path: &str) -> CallOutcome {
     let mut headers = Headers::default();
     headers.push("Host", BASE_HOST);
     headers.push(ID_HEADER, id.to_string());
     match kept.get(path, &headers) {
-        KeptEnd::NotConnected => End::NotConnected,
-        KeptEnd::ClosedBetween => End::ClosedBetween,
-        KeptEnd::Cut => End::Cut,
+        KeptEnd::NotConnected => CallOutcome::NotConnected,
+        KeptEnd::ClosedBetween => CallOutcome::ClosedBetween,
+        KeptEnd::Cut => CallOutcome::Cut,
         KeptEnd::Answered(response) => {
-            let whole = response.body == answer_to(id, path, &[]).as_bytes();
-            End::Answered { status: response.status, whole }
+            let body_matches = response.body == answer_to(id, path, &[]).as_bytes();
+            CallOutcome::Answered { status: response.status, body_matches }
         }
     }
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -24,7 +24,7 @@
 use self::operator::Operator;
 use self::options::{Plan, Strain};
 use self::upstream::{Surroundings, Upstream};
-use soak::{judge, Bounds, Breach, Call, Crash, Record, RepeatBounds, Run};
+use soak::{check_record, Bounds, Call, Crash, Record, RepeatBounds, Run, Violation};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::Arc;
@@ -115,20 +115,20 @@
         calls: calls.take(),
         runs: runs.take(),
         crashes: crashes.take(),
-        clearings,
-        orders: operator.orders.clone(),
+        quarantine_clears: clearings,
+        submissions: operator.orders.clone(),
         faults,
-        calm_from,
+        faults_end: calm_from,
         read_back: operator.read_back(READ_LIMIT),
     };
     upstreams.values().for_each(|upstream| upstream.finish());
-    let breaches = judge(&record, &BOUNDS);
+    let breaches = check_record(&record, &BOUNDS);
     println!("{}", summary(seed, &record, &breaches));
     if breaches.is_empty() {
         return Ok(());
     }
     let kept = folder.keep();
-    let shown: Vec<String> = breaches.iter().take(MOST_PRINTED).map(Breach::to_string).collect();
+    let shown: Vec<String> = breaches.iter().take(MOST_PRINTED).map(Violation::to_string).collect();
     Err(format!("seed {seed}: logs in {}\n  {}", kept.display(), shown.join("\n  ")))
 }
 
@@ -145,27 +145,28 @@
     Ok(())
 }
 
-fn summary(seed: u64, record: &Record, breaches: &[Breach]) -> String {
+fn summary(seed: u64, record: &Record, breaches: &[Violation]) -> String {
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     for call in &record.calls {
-        let word = match call.end {
-            soak::End::Answered { status, .. } => status.to_string(),
-            soak::End::Cut => "cut".to_owned(),
-            soak::End::ClosedBetween => "closed_between".to_owned(),
-            soak::End::NotConnected => "not_connected".to_owned(),
+        let word = match call.outcome {
+            soak::CallOutcome::Answered { status, .. } => status.to_string(),
+            soak::CallOutcome::Cut => "cut".to_owned(),
+            soak::CallOutcome::ClosedBetween => "closed_between".to_owned(),
+            soak::CallOutcome::NotConnected => "not_connected".to_owned(),
         };
         *ends.entry(word).or_default() += 1;
     }
-    let acknowledged = record.orders.iter().filter(|order| order.acknowledged.is_some()).count();
+    let acknowledged =
+        record.submissions.iter().filter(|order| order.acknowledged.is_some()).count();
     format!(
         "seed {seed}: {} calls {ends:?}, {} runs, {} crashes, {} clearings, {} faults, {acknowledged} of {} versions \
          acknowledged, {} promises broken",
         record.calls.len(),
         record.runs.len(),
         record.crashes.len(),
-        record.clearings.len(),
+        record.quarantine_clears.len(),
         record.faults.len(),
-        record.orders.len(),
+        record.submissions.len(),
         breaches.len()
     )
 }
--- a/crates/lab/src/soak/operator.rs
+++ b/crates/lab/src/soak/operator.rs
@@ -3,7 +3,7 @@
 use super::clock::Clock;
 use super::machines::{Machines, COORDINATORS, SERVICE};
 use serde_json::{json, Value};
-use soak::Order;
+use soak::ConfigSubmission;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     /// The newest version sent.
     pub version: Arc<AtomicU64>,
     /// All orders so far.
-    pub orders: Vec<Order>,
+    pub orders: Vec<ConfigSubmission>,
 }
 
 impl Operator {
@@ -46,7 +46,7 @@
         let unclear = self.orders.last().is_some_and(|order| order.acknowledged.is_none());
         if !unclear {
             let version = self.orders.last().map_or(1, |order| order.version + 1);
-            self.orders.push(Order { version, acknowledged: None });
+            self.orders.push(ConfigSubmission { version, acknowledged: None });
         }
         let version = self.orders.last().map_or(1, |order| order.version);
         self.version.store(version, Ordering::SeqCst);
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -11,7 +11,7 @@
     /// Stable name of the invariant.
     pub invariant: &'static str,
     /// What happened.
-    pub what: String,
+    pub details: String,
     /// When, virtual milliseconds.
     pub at_ms: u64,
 }
@@ -47,7 +47,7 @@
 
 impl Checker {
     pub fn violate(&mut self, invariant: &'static str, what: String) {
-        self.violations.push(Violation { invariant, what, at_ms: self.now_ms });
+        self.violations.push(Violation { invariant, details: what, at_ms: self.now_ms });
     }
 
     /// A replica applied a command.
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,6 +1,8 @@
 //! The promises, each as a check over a record.
 
-use crate::{Bounds, Call, End, Fault, FaultKind, Millis, Order, Record, RepeatBounds};
+use crate::{
+    Bounds, Call, CallOutcome, ConfigSubmission, Fault, FaultKind, Millis, Record, RepeatBounds,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -16,7 +18,7 @@
 
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Guarantee {
     /// A success carries the whole answer to its own call.
     OwnAnswer,
     /// A call that may not be repeated runs at most once.
@@ -43,23 +45,23 @@
 
 /// A promise that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
-    pub promise: Promise,
+    pub guarantee: Guarantee,
     /// What was seen.
-    pub what: String,
+    pub details: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.what)
+        write!(f, "{:?}: {}", self.guarantee, self.details)
     }
 }
 
 /// All breaches of a record.
-pub fn judge(record: &Record, bounds: &Bounds) -> Vec<Breach> {
+pub fn check_record(record: &Record, bounds: &Bounds) -> Vec<Violation> {
     let mut breaches = Vec::new();
-    let mut note = |promise, what| breaches.push(Breach { promise, what });
+    let mut note = |promise, what| breaches.push(Violation { guarantee: promise, details: what });
     let runs = runs_by_call(record);
     for call in &record.calls {
         let ran = runs.get(&call.id).copied().unwrap_or(0);
@@ -83,22 +85,22 @@
     runs
 }
 
-fn check_call(call: &Call, ran: u32, note: &mut impl FnMut(Promise, String)) {
+fn check_call(call: &Call, ran: u32, note: &mut impl FnMut(Guarantee, String)) {
     if !call.repeatable && ran > 1 {
-        note(Promise::AtMostOnce, format!("call {} ran {ran} times", call.id));
+        note(Guarantee::AtMostOnce, format!("call {} ran {ran} times", call.id));
     }
-    let End::Answered { status, whole } = call.end else {
+    let CallOutcome::Answered { status, body_matches } = call.outcome else {
         return;
     };
-    if status == 200 && !whole {
-        note(Promise::OwnAnswer, format!("call {} got another answer", call.id));
+    if status == 200 && !body_matches {
+        note(Guarantee::OwnAnswer, format!("call {} got another answer", call.id));
     }
     if !call.repeatable && PROMISES.contains(&status) && ran > 0 {
-        note(Promise::TrueRefusal, format!("call {} got {status} and ran", call.id));
+        note(Guarantee::TrueRefusal, format!("call {} got {status} and ran", call.id));
     }
     if call.version.is_none() && status == NOT_FOUND {
         let Call { id, machine, sent, .. } = call;
-        note(Promise::NotDenied, format!("call {id} at {sent} ms on machine {machine}"));
+        note(Guarantee::NotDenied, format!("call {id} at {sent} ms on machine {machine}"));
     }
 }
 
@@ -118,18 +120,21 @@
     call: &Call,
     record: &Record,
     bounds: &Bounds,
-    note: &mut impl FnMut(Promise, String),
+    note: &mut impl FnMut(Guarantee, String),
 ) {
-    let (Some(version), End::Answered { status, .. }) = (call.version, call.end) else {
+    let (Some(version), CallOutcome::Answered { status, .. }) = (call.version, call.outcome) else {
         return;
     };
-    let due = |order: &Order| order.acknowledged.is_some_and(|at| at + bounds.apply < call.sent);
-    let newest_due = record.orders.iter().filter(|order| due(order)).map(|order| order.version);
+    let due = |order: &ConfigSubmission| {
+        order.acknowledged.is_some_and(|at| at + bounds.apply < call.sent)
+    };
+    let newest_due =
+        record.submissions.iter().filter(|order| due(order)).map(|order| order.version);
     let Some(newest_due) = newest_due.max() else {
         return;
     };
     // A version that was sent later may be in force already.
-    let only_this_far = record.orders.iter().all(|order| order.version <= newest_due);
+    let only_this_far = record.submissions.iter().all(|order| order.version <= newest_due);
     let old = version < newest_due && status == 200;
     let missing = version == newest_due && status == NOT_FOUND && only_this_far;
     if (old || missing)
@@ -146,7 +151,7 @@
             "call {id} at {sent} ms on machine {machine} used version {version}, got {status}; \
              version {newest_due} was due"
         );
-        note(Promise::InForce, what);
+        note(Guarantee::InForce, what);
     }
 }
 
@@ -156,10 +161,11 @@
     ran: u32,
     record: &Record,
     bounds: &Bounds,
-    note: &mut impl FnMut(Promise, String),
+    note: &mut impl FnMut(Guarantee, String),
 ) {
     // A call that crossed a close was not read; one that ran was.
-    let cut = call.end == End::Cut || (call.end == End::ClosedBetween && ran > 0);
+    let cut =
+        call.outcome == CallOutcome::Cut || (call.outcome == CallOutcome::ClosedBetween && ran > 0);
     if !cut {
         return;
     }
@@ -172,13 +178,13 @@
     if !record.faults.iter().any(|fault| unplanned(&fault)) {
         let Call { id, machine, sent, ended, .. } = call;
         note(
-            Promise::StopCutsNothing,
+            Guarantee::StopCutsNothing,
             format!("call {id} on machine {machine}, {sent} to {ended} ms"),
         );
     }
 }
 
-fn check_drains(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Promise, String)) {
+fn check_drains(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
     let drains = record.faults.iter().filter(|fault| fault.kind == FaultKind::Drain);
     for drain in drains {
         let late = record.runs.iter().find(|run| {
@@ -190,22 +196,22 @@
             let after = run.at - drain.from;
             let what =
                 format!("call {call} on machine {machine} {after} ms after the acknowledgement");
-            note(Promise::Drained, what);
+            note(Guarantee::Drained, what);
         }
     }
 }
 
-fn check_read_back(record: &Record, note: &mut impl FnMut(Promise, String)) {
-    let acknowledged = record.orders.iter().filter(|order| order.acknowledged.is_some());
+fn check_read_back(record: &Record, note: &mut impl FnMut(Guarantee, String)) {
+    let acknowledged = record.submissions.iter().filter(|order| order.acknowledged.is_some());
     let newest = acknowledged.map(|order| order.version).max();
     if record.read_back < newest {
-        note(Promise::Kept, format!("read back {:?}, acknowledged {newest:?}", record.read_back));
+        note(Guarantee::Kept, format!("read back {:?}, acknowledged {newest:?}", record.read_back));
     }
 }
 
 /// Upstreams that one poison request ends: as many as are needed to know it, and those that ran it
 /// before word of that was everywhere; as many again after each clearing meanwhile.
-fn check_poison(record: &Record, note: &mut impl FnMut(Promise, String)) {
+fn check_poison(record: &Record, note: &mut impl FnMut(Guarantee, String)) {
     let mut ended: BTreeMap<u64, Vec<Millis>> = BTreeMap::new();
     for crash in &record.crashes {
         ended.entry(crash.poison).or_default().push(crash.at);
@@ -213,17 +219,17 @@
     for (poison, at) in ended {
         let (first, last) = (at.iter().min(), at.iter().max());
         let meanwhile = |at: &&Millis| first <= Some(*at) && Some(*at) <= last;
-        let clearings = record.clearings.iter().filter(meanwhile).count();
-        if at.len() > MOST_CRASHES * (1 + clearings) {
+        let quarantine_clears = record.quarantine_clears.iter().filter(meanwhile).count();
+        if at.len() > MOST_CRASHES * (1 + quarantine_clears) {
             let count = at.len();
-            note(Promise::PoisonContained, format!("request {poison} ended {count} upstreams"));
+            note(Guarantee::PoisonContained, format!("request {poison} ended {count} upstreams"));
         }
     }
 }
 
 /// Runs past the first of their call, in any window, against the calls of that window, the one before,
 /// or the one half a window before.
-fn check_repeats(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Promise, String)) {
+fn check_repeats(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
     let RepeatBounds { ratio, slack, window } = bounds.repeats;
     let mut sent: Vec<Millis> = record.calls.iter().map(|call| call.sent).collect();
     sent.sort_unstable();
@@ -242,7 +248,7 @@
     let worst = repeats.iter().map(|from| excess(*from)).max_by(|a, b| a.0.total_cmp(&b.0));
     if let Some((_, from, found, allowed)) = worst.filter(|(excess, ..)| *excess > 0.0) {
         let what = format!("{found} repeats from {from} ms on, {allowed:.0} allowed");
-        note(Promise::RepeatsBounded, what);
+        note(Guarantee::RepeatsBounded, what);
     }
 }
 
@@ -255,13 +261,13 @@
     runs.into_iter().map(|(at, _)| at).collect()
 }
 
-fn check_recovery(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Promise, String)) {
+fn check_recovery(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
     let calm =
-        |call: &&Call| call.sent > record.calm_from + bounds.settle && call.version.is_none();
+        |call: &&Call| call.sent > record.faults_end + bounds.settle && call.version.is_none();
     let calls: Vec<&Call> = record.calls.iter().filter(calm).collect();
-    let served = |call: &&&Call| matches!(call.end, End::Answered { status: 200, .. });
+    let served = |call: &&&Call| matches!(call.outcome, CallOutcome::Answered { status: 200, .. });
     let served = calls.iter().filter(served).count();
     if calls.is_empty() || (served as f64) < calls.len() as f64 * SERVED_WHEN_CALM {
-        note(Promise::Recovered, format!("{served} of {} calls served", calls.len()));
+        note(Guarantee::Recovered, format!("{served} of {} calls served", calls.len()));
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -4,13 +4,13 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// An answer came; `whole` if a success carried the answer to this very call.
+pub enum CallOutcome {
+    /// An answer came; `body_matches` if a success carried the answer to this very call.
     Answered {
         /// Its status.
         status: u16,
         /// Whether the body is the upstream's whole answer to this call.
-        whole: bool,
+        body_matches: bool,
     },
     /// The connection ended after the call was sent.
     Cut,
@@ -37,7 +37,7 @@
     /// When it ended.
     pub ended: Millis,
     /// How.
-    pub end: End,
+    pub outcome: CallOutcome,
 }
 
 /// A run that an upstream began.
@@ -64,7 +64,7 @@
 
 /// A configuration that was sent by the operator.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct ConfigSubmission {
     /// Its version; the routes of the version before are dropped with it.
     pub version: u64,
     /// When it was acknowledged, if it was.
@@ -135,13 +135,13 @@
     /// Upstreams that ended because of a request.
     pub crashes: Vec<Crash>,
     /// When an operator cleared all that was in quarantine.
-    pub clearings: Vec<Millis>,
+    pub quarantine_clears: Vec<Millis>,
     /// Orders, in the order of their versions.
-    pub orders: Vec<Order>,
+    pub submissions: Vec<ConfigSubmission>,
     /// Faults.
     pub faults: Vec<Fault>,
     /// When the last fault was over.
-    pub calm_from: Millis,
+    pub faults_end: Millis,
     /// The version read back at the end.
     pub read_back: Option<u64>,
 }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,15 +1,18 @@
 //! Each check finds the breach it is for, and nothing in a record without any.
 
 use expect_test::expect;
-use soak::{judge, Bounds, Call, Crash, End, Fault, FaultKind, Order, Record, RepeatBounds, Run};
+use soak::{
+    check_record, Bounds, Call, CallOutcome, ConfigSubmission, Crash, Fault, FaultKind, Record,
+    RepeatBounds, Run,
+};
 use std::fmt::Write;
 
 const REPEATS: RepeatBounds = RepeatBounds { ratio: 0.2, slack: 3.0, window: 3_000 };
 const BOUNDS: Bounds = Bounds { apply: 2_000, drain: 1_000, settle: 3_000, repeats: REPEATS };
-const OK: End = End::Answered { status: 200, whole: true };
+const OK: CallOutcome = CallOutcome::Answered { status: 200, body_matches: true };
 
-fn call(id: u64, sent: u64, end: End) -> Call {
-    Call { id, machine: 11, repeatable: false, version: None, sent, ended: sent + 20, end }
+fn call(id: u64, sent: u64, outcome: CallOutcome) -> Call {
+    Call { id, machine: 11, repeatable: false, version: None, sent, ended: sent + 20, outcome }
 }
 
 /// Nine seconds without a breach: a stop, a drain, two versions.
@@ -18,10 +21,10 @@
         calls: (0..90).map(|id| call(id, id * 100, OK)).collect(),
         runs: (0..90).map(|id| Run { call: id, machine: 12, at: id * 100 + 5 }).collect(),
         crashes: (0..6).map(|at| Crash { poison: 7, machine: 12, at }).collect(),
-        clearings: Vec::new(),
-        orders: vec![
-            Order { version: 1, acknowledged: Some(0) },
-            Order { version: 2, acknowledged: Some(500) },
+        quarantine_clears: Vec::new(),
+        submissions: vec![
+            ConfigSubmission { version: 1, acknowledged: Some(0) },
+            ConfigSubmission { version: 2, acknowledged: Some(500) },
         ],
         faults: vec![
             Fault {
@@ -39,13 +42,13 @@
                 to: 5_000,
             },
         ],
-        calm_from: 5_000,
+        faults_end: 5_000,
         read_back: Some(2),
     }
 }
 
 fn versioned(id: u64, sent: u64, version: u64, status: u16) -> Call {
-    let end = End::Answered { status, whole: true };
+    let end = CallOutcome::Answered { status, body_matches: true };
     Call { version: Some(version), repeatable: true, ..call(id, sent, end) }
 }
 
@@ -59,22 +62,28 @@
 
 #[test]
 fn a_good_record_has_no_breach() {
-    assert_eq!(judge(&record(), &BOUNDS), []);
+    assert_eq!(check_record(&record(), &BOUNDS), []);
 }
 
 #[test]
 fn each_breach_is_found() {
     type Spoil = fn(&mut Record);
     let rows: Vec<(&str, Spoil)> = vec![
-        ("another's answer", |r| r.calls[3].end = End::Answered { status: 200, whole: false }),
-        ("cut between, and run", |r| r.calls[3].end = End::ClosedBetween),
+        ("another's answer", |r| {
+            r.calls[3].outcome = CallOutcome::Answered { status: 200, body_matches: false }
+        }),
+        ("cut between, and run", |r| r.calls[3].outcome = CallOutcome::ClosedBetween),
         ("a seventh crash", |r| r.crashes.push(Crash { poison: 7, machine: 13, at: 400 })),
         ("run twice", |r| r.runs.push(Run { call: 3, machine: 13, at: 400 })),
-        ("refused and run", |r| r.calls[3].end = End::Answered { status: 503, whole: true }),
-        ("denied", |r| r.calls[3].end = End::Answered { status: 404, whole: true }),
+        ("refused and run", |r| {
+            r.calls[3].outcome = CallOutcome::Answered { status: 503, body_matches: true }
+        }),
+        ("denied", |r| {
+            r.calls[3].outcome = CallOutcome::Answered { status: 404, body_matches: true }
+        }),
         ("the old version serves", |r| r.calls.push(versioned(900, 8_000, 1, 200))),
         ("the new version is missing", |r| r.calls.push(versioned(900, 8_000, 2, 404))),
-        ("cut by a planned stop", |r| r.calls[12].end = End::Cut),
+        ("cut by a planned stop", |r| r.calls[12].outcome = CallOutcome::Cut),
         ("cut beside a coordinator's fault", |r| {
             r.faults.push(Fault {
                 kind: FaultKind::Kill,
@@ -83,7 +92,7 @@
                 from: 1_150,
                 to: 1_900,
             });
-            r.calls[12].end = End::Cut;
+            r.calls[12].outcome = CallOutcome::Cut;
         }),
         ("the old version beside another sidecar's fault", |r| {
             r.faults.push(Fault {
@@ -99,7 +108,7 @@
         ("an older version read back", |r| r.read_back = Some(1)),
         ("none read back", |r| r.read_back = None),
         ("not served when calm", |r| {
-            r.calls.iter_mut().skip(80).for_each(|c| c.end = End::NotConnected);
+            r.calls.iter_mut().skip(80).for_each(|c| c.outcome = CallOutcome::NotConnected);
         }),
         ("ten sent again", |r| send_again(r, 10)),
     ];
@@ -107,7 +116,7 @@
     for (name, spoil) in rows {
         let mut record = record();
         spoil(&mut record);
-        for breach in judge(&record, &BOUNDS) {
+        for breach in check_record(&record, &BOUNDS) {
             writeln!(text, "{name}: {breach}").expect("text");
         }
     }
@@ -143,7 +152,7 @@
                 from: 1_150,
                 to: 1_900,
             });
-            r.calls[12].end = End::Cut;
+            r.calls[12].outcome = CallOutcome::Cut;
         }),
         ("nine sent again", |r| send_again(r, 9)),
         ("the old version within its time", |r| r.calls.push(versioned(900, 2_400, 1, 200))),
@@ -158,27 +167,31 @@
             r.calls.push(versioned(900, 2_600, 1, 200));
         }),
         ("a version without a clear answer is in force", |r| {
-            r.orders.push(Order { version: 3, acknowledged: None });
+            r.submissions.push(ConfigSubmission { version: 3, acknowledged: None });
             r.calls.push(versioned(900, 8_000, 2, 404));
             r.read_back = Some(3);
         }),
         ("refused without a run", |r| {
-            r.calls[3].end = End::Answered { status: 503, whole: true };
+            r.calls[3].outcome = CallOutcome::Answered { status: 503, body_matches: true };
             r.runs.retain(|run| run.call != 3);
         }),
     ];
     for (name, allow) in rows {
         let mut record = record();
         allow(&mut record);
-        assert_eq!(judge(&record, &BOUNDS), [], "{name}");
+        assert_eq!(check_record(&record, &BOUNDS), [], "{name}");
     }
 }
 
 #[test]
 fn a_clearing_allows_as_many_ends_again_of_requests_that_it_may_concern() {
-    let with = |crashes: u64, clearings: &[u64]| {
+    let with = |crashes: u64, quarantine_clears: &[u64]| {
         let crashes = (0..crashes).map(|at| Crash { poison: 7, machine: 12, at }).collect();
-        judge(&Record { crashes, clearings: clearings.to_vec(), ..record() }, &BOUNDS).len()
+        check_record(
+            &Record { crashes, quarantine_clears: quarantine_clears.to_vec(), ..record() },
+            &BOUNDS,
+        )
+        .len()
     };
     assert_eq!((with(12, &[3]), with(13, &[3])), (0, 1));
     assert_eq!(with(7, &[50]), 1, "it came after the last of them");
