--- a/crates/simulator/src/control_node.rs
+++ b/crates/simulator/src/control_node.rs
@@ -1,4 +1,4 @@
-//! A simulated control replica around the product's consensus core and state machines.
+//! Simulated control replica, which drives the production consensus core and state machines.
 
 use crate::checker::Checker;
 use crate::host::Hosts;
@@ -18,11 +18,11 @@
 pub(crate) const TICK_MS: u64 = 20;
 pub(crate) const ELECTION_TICKS: u32 = 20;
 const HEARTBEAT_TICKS: u32 = 4;
-const HOLD_MS: u64 = 500;
-/// Small, so that checkpoints and snapshot transfers happen in every run.
+const LONG_POLL_MS: u64 = 500;
+/// Small enough that checkpoints and snapshot transfers happen in every run.
 const CHECKPOINT_BYTES: u64 = 24 * 1024;
 
-/// The weaknesses of broken variants that concern a replica.
+/// Mechanisms of a replica that the broken variant disables.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ControlWeakness {
     pub consensus: Option<consensus::Weakness>,
@@ -37,13 +37,13 @@
     deadline_ms: u64,
 }
 
-/// A relay's wish for a confirmed revision.
+/// Pending linearizable read of the newest revision for a relay.
 #[derive(Clone, Copy)]
 struct PendingRead {
     relay: Node,
     call: CallId,
-    /// Newest revision anywhere when the read began.
-    floor: u64,
+    /// Newest revision that any replica had applied when the read began.
+    min_revision: u64,
 }
 
 pub(crate) struct ControlNode {
@@ -56,31 +56,31 @@
     weakness: ControlWeakness,
     proposals: BTreeMap<Index, (u64, Node, CallId)>,
     reads: BTreeMap<u64, PendingRead>,
-    confirmed: Vec<(Index, PendingRead)>,
+    confirmed_reads: Vec<(Index, PendingRead)>,
     next_read: u64,
-    held: Vec<HeldWatch>,
-    rounds: VecDeque<(u64, RoundStart)>,
+    held_watches: Vec<HeldWatch>,
+    heartbeat_rounds: VecDeque<(u64, RoundStart)>,
     quorum_contact: Option<RoundStart>,
-    /// The next write is torn, and the process dies.
+    /// If set, the next write is torn and the process crashes.
     pub tear_next_write: Option<TornWrite>,
-    /// Set when the process died in a write: how long until it restarts, milliseconds.
-    pub died_for_ms: Option<u64>,
+    /// Set when the process crashed during a write: delay until its restart.
+    pub restart_after_ms: Option<u64>,
 }
 
-/// A write that reaches the disk only in part.
+/// A write that reaches the disk only partially.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TornWrite {
-    /// How much of it is durable.
+    /// Number of bytes that are durable.
     pub bytes: usize,
-    /// How long the process stays dead.
+    /// Delay until the process restarts.
     pub restart_ms: u64,
 }
 
-pub(crate) fn first_snapshot(membership: Membership) -> Snapshot {
+pub(crate) fn initial_snapshot(membership: Membership) -> Snapshot {
     Snapshot { meta: SnapshotMeta { index: 0, term: 0, membership }, data: Vec::new() }
 }
 
-/// When a round of heartbeats began, by the node's own clock and in truth.
+/// Start of a heartbeat round, by the node's own clock and in real (simulated) time.
 #[derive(Clone, Copy, Debug)]
 struct RoundStart {
     clock_ms: u64,
@@ -88,10 +88,10 @@
 }
 
 impl ControlNode {
-    /// Starts from what the disk holds.
+    /// Recovers the replica from its disk.
     pub fn start(id: u64, mut store: MemoryStore, weakness: ControlWeakness, seed: u64) -> Self {
         let recovered = store.recover();
-        let (config, claims) = decode(&recovered.snapshot.data, weakness);
+        let (config, claims) = decode_state(&recovered.snapshot.data, weakness);
         let consensus = Config {
             id,
             election_ticks: ELECTION_TICKS,
@@ -111,20 +111,20 @@
             weakness,
             proposals: BTreeMap::new(),
             reads: BTreeMap::new(),
-            confirmed: Vec::new(),
+            confirmed_reads: Vec::new(),
             next_read: 1,
-            held: Vec::new(),
-            rounds: VecDeque::new(),
+            held_watches: Vec::new(),
+            heartbeat_rounds: VecDeque::new(),
             quorum_contact: None,
             tear_next_write: None,
-            died_for_ms: None,
+            restart_after_ms: None,
         }
     }
 
     pub fn on_timer(&mut self, timer: &Timer, hosts: &mut Hosts, checker: &mut Checker) {
         if *timer == Timer::Tick {
             self.raft.tick();
-            self.work(hosts, checker);
+            self.process_ready(hosts, checker);
         }
     }
 
@@ -139,13 +139,13 @@
             Packet::Raft(message) => self.raft.step(message),
             Packet::Propose(call, command) => self.propose(from, call, &command, hosts),
             Packet::Watch(call, request) => {
-                let deadline_ms = hosts.clock_ms(Node::Control(self.id)) + HOLD_MS;
-                self.held.push(HeldWatch { relay: from, call, request, deadline_ms });
+                let deadline_ms = hosts.clock_ms(Node::Control(self.id)) + LONG_POLL_MS;
+                self.held_watches.push(HeldWatch { relay: from, call, request, deadline_ms });
             }
             Packet::Report(call, request) => self.report(from, call, &request, hosts, checker),
             _ => {}
         }
-        self.work(hosts, checker);
+        self.process_ready(hosts, checker);
     }
 
     fn propose(&mut self, from: Node, call: CallId, command: &SimCommand, hosts: &mut Hosts) {
@@ -177,8 +177,8 @@
             let context = self.next_read;
             self.next_read += 1;
             if self.raft.read_index(context).is_ok() {
-                let floor = checker.newest_revision();
-                self.reads.insert(context, PendingRead { relay: from, call, floor });
+                let min_revision = checker.newest_revision();
+                self.reads.insert(context, PendingRead { relay: from, call, min_revision });
                 return;
             }
         }
@@ -189,20 +189,21 @@
         hosts.send(Node::Control(self.id), from, Packet::ReportAnswer(call, reply));
     }
 
-    /// Proposes a membership change as the operators' tool would.
+    /// Proposes a membership change, as the operators' tool does. Returns whether the proposal was
+    /// accepted.
     pub fn change_membership(
         &mut self,
         next: Membership,
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) -> bool {
-        let done = self.raft.propose_membership(next).is_ok();
-        self.work(hosts, checker);
-        done
+        let accepted = self.raft.propose_membership(next).is_ok();
+        self.process_ready(hosts, checker);
+        accepted
     }
 
-    fn work(&mut self, hosts: &mut Hosts, checker: &mut Checker) {
-        while self.raft.has_ready() && self.died_for_ms.is_none() {
+    fn process_ready(&mut self, hosts: &mut Hosts, checker: &mut Checker) {
+        while self.raft.has_ready() && self.restart_after_ms.is_none() {
             let ready = self.raft.ready();
             if !self.save(&ready) {
                 return;
@@ -213,7 +214,7 @@
             self.apply(ready, hosts, checker);
         }
         let clock_ms = hosts.clock_ms(Node::Control(self.id));
-        self.note_rounds(RoundStart { clock_ms, real_ms: hosts.now_ms });
+        self.track_heartbeat_rounds(RoundStart { clock_ms, real_ms: hosts.now_ms });
         self.answer_watches(hosts, checker);
         if self.store.bytes_since_checkpoint() >= CHECKPOINT_BYTES {
             self.checkpoint();
@@ -224,7 +225,7 @@
         hosts.send(Node::Control(self.id), Node::Control(message.to), Packet::Raft(message));
     }
 
-    /// False when the process died in the middle of the write.
+    /// Saves to disk. Returns false if the process crashed during the write.
     fn save(&mut self, ready: &Ready) -> bool {
         if !ready.must_save() {
             return true;
@@ -232,16 +233,18 @@
         if let Some(snapshot) = &ready.snapshot {
             let retained = self.raft.log().retained().to_vec();
             let hard_state = self.raft.hard_state();
-            self.store.checkpoint(hard_state, snapshot, &retained).expect("memory does not fail");
+            self.store
+                .checkpoint(hard_state, snapshot, &retained)
+                .expect("memory store cannot fail");
         } else {
             let record = Record { hard_state: ready.hard_state, entries: ready.entries.clone() };
             if let Some(torn) = self.tear_next_write.take() {
                 let point = CrashPoint::DuringSave { bytes: torn.bytes };
                 self.store.crash(point, Some(&record));
-                self.died_for_ms = Some(torn.restart_ms);
+                self.restart_after_ms = Some(torn.restart_ms);
                 return false;
             }
-            self.store.save(record.hard_state, &record.entries).expect("memory does not fail");
+            self.store.save(record.hard_state, &record.entries).expect("memory store cannot fail");
         }
         self.raft.on_persisted(self.raft.log().last_index());
         true
@@ -249,7 +252,7 @@
 
     fn apply(&mut self, ready: Ready, hosts: &mut Hosts, checker: &mut Checker) {
         if let Some(snapshot) = &ready.snapshot {
-            (self.config, self.claims) = decode(&snapshot.data, self.weakness);
+            (self.config, self.claims) = decode_state(&snapshot.data, self.weakness);
             self.applied = snapshot.meta.index;
         }
         for entry in &ready.committed {
@@ -258,7 +261,7 @@
         }
         for read in ready.reads {
             if let Some(pending) = self.reads.remove(&read.context) {
-                self.confirmed.push((read.index, pending));
+                self.confirmed_reads.push((read.index, pending));
             }
         }
         for context in ready.failed_reads {
@@ -274,11 +277,11 @@
         let revision = self.config.view().revision;
         let applied = self.applied;
         let id = self.id;
-        self.confirmed.retain(|(index, read)| {
+        self.confirmed_reads.retain(|(index, read)| {
             if *index > applied {
                 return true;
             }
-            checker.on_confirmed_read(id, read.floor, revision);
+            checker.on_confirmed_read(id, read.min_revision, revision);
             let reply = ReportReply::Done { confirmed_revision: Some(revision) };
             hosts.send(Node::Control(id), read.relay, Packet::ReportAnswer(read.call, reply));
             false
@@ -311,51 +314,53 @@
         }
     }
 
-    /// As the product's replica does before it takes anything in.
-    pub fn note_sleep(&mut self, slept_ms: u64) {
+    /// Reports a suspension of the machine to the consensus core, as the production replica does before
+    /// it handles input. Suspensions shorter than an election timeout are ignored.
+    pub fn on_machine_sleep(&mut self, slept_ms: u64) {
         if slept_ms >= TICK_MS * u64::from(ELECTION_TICKS) {
             self.raft.note_sleep();
         }
     }
 
-    fn note_rounds(&mut self, now: RoundStart) {
+    fn track_heartbeat_rounds(&mut self, now: RoundStart) {
         if !self.raft.is_leader() {
-            self.rounds.clear();
+            self.heartbeat_rounds.clear();
             self.quorum_contact = None;
             return;
         }
         let newest = self.raft.round();
-        if self.rounds.back().is_none_or(|(round, _)| *round < newest) {
-            self.rounds.push_back((newest, now));
+        if self.heartbeat_rounds.back().is_none_or(|(round, _)| *round < newest) {
+            self.heartbeat_rounds.push_back((newest, now));
         }
         let confirmed = self.raft.confirmed_round();
-        while let Some((round, started)) = self.rounds.front().copied() {
+        while let Some((round, started)) = self.heartbeat_rounds.front().copied() {
             if round > confirmed {
                 break;
             }
             self.quorum_contact = Some(started);
-            self.rounds.pop_front();
+            self.heartbeat_rounds.pop_front();
         }
     }
 
     fn answer_watches(&mut self, hosts: &mut Hosts, checker: &mut Checker) {
         let now_ms = hosts.clock_ms(Node::Control(self.id));
-        let mut still_held = Vec::new();
-        for watch in std::mem::take(&mut self.held) {
+        let mut unanswered = Vec::new();
+        for watch in std::mem::take(&mut self.held_watches) {
             match self.watch_reply(&watch, now_ms) {
                 Some(reply) => {
-                    self.check_contact(&reply, hosts.now_ms, checker);
+                    self.check_quorum_contact(&reply, hosts.now_ms, checker);
                     let answer = Packet::WatchAnswer(watch.call, reply);
                     hosts.send(Node::Control(self.id), watch.relay, answer);
                 }
-                None => still_held.push(watch),
+                None => unanswered.push(watch),
             }
         }
-        self.held = still_held;
+        self.held_watches = unanswered;
     }
 
-    /// A leader's word counts while a quorum answered it within an election timeout of real time.
-    fn check_contact(&self, reply: &WatchReply, now_ms: u64, checker: &mut Checker) {
+    /// Checks that a replica that answers as leader had contact with a quorum within an election
+    /// timeout of real time.
+    fn check_quorum_contact(&self, reply: &WatchReply, now_ms: u64, checker: &mut Checker) {
         if matches!(reply, WatchReply::NotLeader { .. }) {
             return;
         }
@@ -401,18 +406,20 @@
         if let Some(snapshot) = self.raft.compact(self.applied, data) {
             let retained = self.raft.log().retained().to_vec();
             let hard_state = self.raft.hard_state();
-            self.store.checkpoint(hard_state, &snapshot, &retained).expect("memory does not fail");
+            self.store
+                .checkpoint(hard_state, &snapshot, &retained)
+                .expect("memory store cannot fail");
         }
     }
 }
 
-fn decode(data: &[u8], weakness: ControlWeakness) -> (ConfigMachine, ClaimMachine) {
+fn decode_state(data: &[u8], weakness: ControlWeakness) -> (ConfigMachine, ClaimMachine) {
     let (config, claims) = match data.is_empty() {
         true => (Vec::new(), Vec::new()),
-        false => <(Vec<u8>, Vec<u8>)>::read_from_buffer(data).expect("written by ourselves"),
+        false => <(Vec<u8>, Vec<u8>)>::read_from_buffer(data).expect("snapshot data is valid"),
     };
-    let mut config = ConfigMachine::decode(&config).expect("written by ourselves");
-    let mut claims = ClaimMachine::decode(&claims).expect("written by ourselves");
+    let mut config = ConfigMachine::decode(&config).expect("snapshot data is valid");
+    let mut claims = ClaimMachine::decode(&claims).expect("snapshot data is valid");
     if let Some(weakness) = weakness.rollout {
         config.weaken(weakness);
     }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,10 +1,10 @@
-//! Processes that die, freeze and restart, and the network between them.
+//! Event queue, process states (crashed, frozen, suspended) and the network between processes.
 
 use crate::packet::{Node, Packet, Timer};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Something that happens at a time.
+/// Event delivered to a process.
 #[expect(clippy::large_enum_variant, reason = "boxing every packet would slow the runs down")]
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 struct Scheduled {
     at_ms: u64,
-    order: u64,
+    sequence: u64,
     to: Node,
     incarnation: u64,
     event: Event,
@@ -23,7 +23,7 @@
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        (self.at_ms, self.order) == (other.at_ms, other.order)
+        (self.at_ms, self.sequence) == (other.at_ms, other.sequence)
     }
 }
 impl Eq for Scheduled {}
@@ -34,7 +34,7 @@
 }
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at_ms, other.order).cmp(&(self.at_ms, self.order))
+        (other.at_ms, other.sequence).cmp(&(self.at_ms, self.sequence))
     }
 }
 
@@ -44,36 +44,36 @@
     up: bool,
     incarnation: u64,
     frozen_until_ms: u64,
-    /// Time that its machine slept since its start, milliseconds.
+    /// How long the machine has been suspended since the process started.
     slept_ms: u64,
-    /// The part of it that it has not noticed yet.
+    /// Part of `slept_ms` that the process has not detected yet.
     unnoticed_sleep_ms: u64,
 }
 
-/// How the network misbehaves now.
+/// Network faults currently in effect.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NetworkFaults {
-    /// Zones from which nothing reaches another zone: (from, to).
+    /// Pairs of zones (from, to) between which all packets are dropped.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Longest extra delay, milliseconds.
+    /// Upper bound of the random extra delay of a packet.
     pub extra_delay_ms: u64,
-    /// Consensus messages doubled, per cent.
+    /// Percentage of consensus messages that are duplicated.
     pub duplicate_percent: u32,
-    /// Consensus messages lost, per cent.
+    /// Percentage of consensus messages that are lost.
     pub loss_percent: u32,
 }
 
-/// Events, processes and the network.
+/// The simulated processes, their pending events and the network between them.
 pub(crate) struct Hosts {
     pub now_ms: u64,
     pub random: fastrand::Rng,
     pub faults: NetworkFaults,
     queue: BinaryHeap<Scheduled>,
-    order: u64,
+    sequence: u64,
     hosts: BTreeMap<Node, Host>,
     isolated_until_ms: BTreeMap<Node, u64>,
-    /// Broken variant: clocks stand still while machines sleep.
-    pub steady_clocks: bool,
+    /// Broken variant: clocks stop while machines are suspended.
+    pub clocks_stop_in_sleep: bool,
 }
 
 const SAME_ZONE_DELAY_MS: u64 = 1;
@@ -86,14 +86,14 @@
             random: fastrand::Rng::with_seed(seed),
             faults: NetworkFaults::default(),
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             hosts: BTreeMap::new(),
             isolated_until_ms: BTreeMap::new(),
-            steady_clocks: false,
+            clocks_stop_in_sleep: false,
         }
     }
 
-    /// Starts a process, or starts it again.
+    /// Starts or restarts a process.
     pub fn start(&mut self, node: Node, zone: usize) {
         let host = self.hosts.entry(node).or_default();
         host.zone = zone;
@@ -104,7 +104,7 @@
         host.unnoticed_sleep_ms = 0;
     }
 
-    /// The process is gone; what was on its way to it is lost.
+    /// Stops a process. Events in flight to it are lost.
     pub fn stop(&mut self, node: Node) {
         if let Some(host) = self.hosts.get_mut(&node) {
             host.up = false;
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Suspends the machine: nothing runs there, and its steady clock stands still.
+    /// Suspends the machine of a process: it handles no events, and in the broken variant its clock
+    /// stops.
     pub fn sleep(&mut self, node: Node, until_ms: u64) {
         let now_ms = self.now_ms;
         if let Some(host) = self.hosts.get_mut(&node) {
@@ -133,24 +134,24 @@
         self.freeze(node, until_ms);
     }
 
-    /// The time as a process reckons it.
+    /// Returns the current time according to the clock of a process.
     pub fn clock_ms(&self, node: Node) -> u64 {
         let slept_ms = self.hosts.get(&node).map_or(0, |host| host.slept_ms);
-        match self.steady_clocks {
+        match self.clocks_stop_in_sleep {
             true => self.now_ms.saturating_sub(slept_ms),
             false => self.now_ms,
         }
     }
 
-    /// How long a process' machine slept since it was asked last, if it can tell.
-    pub fn take_sleep(&mut self, node: Node) -> Option<u64> {
+    /// Returns how long the machine was suspended since the last call, if the process can detect it.
+    pub fn take_unnoticed_sleep(&mut self, node: Node) -> Option<u64> {
         let host = self.hosts.get_mut(&node)?;
         let slept_ms = std::mem::take(&mut host.unnoticed_sleep_ms);
-        (slept_ms > 0 && !self.steady_clocks).then_some(slept_ms)
+        (slept_ms > 0 && !self.clocks_stop_in_sleep).then_some(slept_ms)
     }
 
-    /// Nothing passes between this process and control replicas for a while; everything else
-    /// still reaches it.
+    /// Drops all packets between a process and control replicas until `until_ms`. Other traffic is
+    /// unaffected.
     pub fn isolate_from_control(&mut self, node: Node, until_ms: u64) {
         self.isolated_until_ms.insert(node, until_ms);
     }
@@ -161,7 +162,7 @@
         (isolated(from) && is_control(to)) || (isolated(to) && is_control(from))
     }
 
-    pub fn wake_all(&mut self) {
+    pub fn clear_freezes_and_isolation(&mut self) {
         self.isolated_until_ms.clear();
         for host in self.hosts.values_mut() {
             host.frozen_until_ms = 0;
@@ -174,15 +175,15 @@
 
     fn push(&mut self, at_ms: u64, to: Node, event: Event) {
         let incarnation = self.hosts.get(&to).map_or(0, |host| host.incarnation);
-        self.order += 1;
-        self.queue.push(Scheduled { at_ms, order: self.order, to, incarnation, event });
+        self.sequence += 1;
+        self.queue.push(Scheduled { at_ms, sequence: self.sequence, to, incarnation, event });
     }
 
-    pub fn timer(&mut self, node: Node, after_ms: u64, timer: Timer) {
+    pub fn set_timer(&mut self, node: Node, after_ms: u64, timer: Timer) {
         self.push(self.now_ms + after_ms, node, Event::Timer(timer));
     }
 
-    /// Sends a packet. One to a process that is not there is answered with a reset.
+    /// Sends a packet. A request to a process that is down is answered with a reset.
     pub fn send(&mut self, from: Node, to: Node, packet: Packet) {
         let (from_zone, to_zone) = (self.zone(from), self.zone(to));
         if self.faults.cut.contains(&(from_zone, to_zone)) || self.is_isolated(from, to) {
@@ -217,7 +218,8 @@
         self.hosts.get(&node).map_or(0, |host| host.zone)
     }
 
-    /// The next event, with time advanced to it; events of frozen processes wait for them.
+    /// Advances the time to the next event and returns it, or advances to `until_ms` if there is none
+    /// before. Events of frozen processes are deferred until they resume.
     pub fn next(&mut self, until_ms: u64) -> Option<(Node, Event)> {
         while let Some(scheduled) = self.queue.peek() {
             if scheduled.at_ms > until_ms {
@@ -230,7 +232,7 @@
                 continue;
             }
             if self.now_ms < host.frozen_until_ms {
-                // The order is kept, so that buffered packets arrive as they were sent.
+                // Keeps the sequence number, so that buffered packets arrive in order.
                 scheduled.at_ms = host.frozen_until_ms;
                 self.queue.push(scheduled);
                 continue;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,9 +1,10 @@
-//! The product's own cores in virtual time, with seeded faults and checks at every step.
+//! Deterministic simulation of a deployment in virtual time, with seeded fault injection and
+//! invariant checks at every step.
 //!
-//! One seed is one run: control replicas, relays and proxies as in the product, but with a
-//! simulated network, simulated disks and simulated operators and callers. The same seed always
-//! gives the same run. docs/VERIFICATION.md lists what is checked and which broken variant proves
-//! that each check can fail.
+//! One seed determines one run. Control replicas, relays and proxies run the production code;
+//! the network, disks, operators and callers are simulated. The same seed always gives the same
+//! run. docs/VERIFICATION.md lists the invariants, and for each the broken variant that proves
+//! that its check can fail.
 #![forbid(unsafe_code)]
 
 mod checker;
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -1,5 +1,5 @@
-//! Simulated operators: they submit, approve, roll, advance and withdraw, race one another, and
-//! resend what got no answer under the same request id.
+//! Simulated operators, which concurrently submit, approve, roll out, advance and withdraw
+//! configurations, and resend unanswered requests under the same request id.
 
 use crate::checker::Checker;
 use crate::host::Hosts;
@@ -10,19 +10,19 @@
 use std::collections::BTreeSet;
 
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-const RESEND_PAUSE_MS: std::ops::RangeInclusive<u64> = 5..=100;
+const RESEND_DELAY_MS: std::ops::RangeInclusive<u64> = 5..=100;
 
-/// What both operators know, as from `status`.
+/// State of the control plane as known to both operators, as if both read `status`.
 #[derive(Default)]
-pub(crate) struct Desk {
+pub(crate) struct SharedStatus {
     next_version: u64,
     next_revision: u64,
     submitted: Vec<(Digest, usize)>,
     approved: Vec<Digest>,
     generation: u64,
     rollout: Option<(u64, u32)>,
-    /// Requests that would make a generation.
-    pub making_requests: BTreeSet<String>,
+    /// Ids of the requests that create a generation if accepted.
+    pub generation_requests: BTreeSet<String>,
     pub stopped: bool,
 }
 
@@ -39,19 +39,27 @@
     pending: Option<Pending>,
     next_call: CallId,
     next_request: u64,
-    pace_ms: std::ops::RangeInclusive<u64>,
-    races: bool,
+    action_interval_ms: std::ops::RangeInclusive<u64>,
+    reuses_versions: bool,
 }
 
 impl OperatorNode {
     pub fn new(
         number: usize,
         controls: Vec<u64>,
-        pace_ms: std::ops::RangeInclusive<u64>,
-        races: bool,
+        action_interval_ms: std::ops::RangeInclusive<u64>,
+        reuses_versions: bool,
     ) -> Self {
         let (next_call, next_request) = (0, 0);
-        OperatorNode { number, controls, pending: None, next_call, next_request, pace_ms, races }
+        OperatorNode {
+            number,
+            controls,
+            pending: None,
+            next_call,
+            next_request,
+            action_interval_ms,
+            reuses_versions,
+        }
     }
 
     fn node(&self) -> Node {
@@ -66,26 +74,26 @@
         self.pending.is_none()
     }
 
-    pub fn on_timer(&mut self, timer: &Timer, desk: &mut Desk, hosts: &mut Hosts) {
+    pub fn on_timer(&mut self, timer: &Timer, shared: &mut SharedStatus, hosts: &mut Hosts) {
         match timer {
             Timer::Act => {
-                if self.pending.is_none() && !desk.stopped {
-                    self.act(desk, hosts);
+                if self.pending.is_none() && !shared.stopped {
+                    self.act(shared, hosts);
                 }
-                let pause_ms = hosts.random.u64(self.pace_ms.clone());
-                hosts.timer(self.node(), pause_ms, Timer::Act);
+                let delay_ms = hosts.random.u64(self.action_interval_ms.clone());
+                hosts.set_timer(self.node(), delay_ms, Timer::Act);
             }
-            Timer::CallTimeout(call) => self.on_lost(*call, None, hosts),
+            Timer::CallTimeout(call) => self.on_call_lost(*call, None, hosts),
             _ => {}
         }
     }
 
-    fn act(&mut self, desk: &mut Desk, hosts: &mut Hosts) {
-        let Some((command, digest)) = self.choose(desk, hosts) else { return };
+    fn act(&mut self, shared: &mut SharedStatus, hosts: &mut Hosts) {
+        let Some((command, digest)) = self.choose(shared, hosts) else { return };
         self.next_request += 1;
         let request_id = format!("{}-{}", self.number, self.next_request);
         if matches!(command, Command::Roll { .. } | Command::Withdraw { .. }) {
-            desk.making_requests.insert(request_id.clone());
+            shared.generation_requests.insert(request_id.clone());
         }
         let operator = format!("operator-{}", self.number);
         let request = Request { operator, request_id, command };
@@ -94,44 +102,44 @@
         self.send(hosts);
     }
 
-    fn choose(&self, desk: &mut Desk, hosts: &mut Hosts) -> Option<(Command, Digest)> {
-        if let Some((generation, from_stage)) = desk.rollout {
+    fn choose(&self, shared: &mut SharedStatus, hosts: &mut Hosts) -> Option<(Command, Digest)> {
+        if let Some((generation, from_stage)) = shared.rollout {
             if hosts.random.u32(0..100) < 70 {
                 return Some((Command::Advance { generation, from_stage }, Digest([0; 32])));
             }
         }
         match hosts.random.u32(0..100) {
-            0..=29 => Some(self.submit(desk, hosts)),
+            0..=29 => Some(self.submit(shared, hosts)),
             30..=54 => {
-                let other = desk.submitted.iter().rev().find(|(_, by)| *by != self.number);
+                let other = shared.submitted.iter().rev().find(|(_, by)| *by != self.number);
                 let digest = other.map(|(digest, _)| *digest)?;
                 Some((Command::Approve { digest, signature: Vec::new() }, digest))
             }
             55..=91 => {
-                let digest = *desk.approved.last()?;
+                let digest = *shared.approved.last()?;
                 let stages = stages(hosts);
-                let expected_generation = desk.generation;
+                let expected_generation = shared.generation;
                 let advance_after_s = None;
                 let command =
                     Command::Roll { digest, expected_generation, stages, advance_after_s };
                 Some((command, digest))
             }
             _ => {
-                let expected_generation = desk.generation;
+                let expected_generation = shared.generation;
                 Some((Command::Withdraw { expected_generation, to: None }, Digest([0; 32])))
             }
         }
     }
 
-    fn submit(&self, desk: &mut Desk, hosts: &mut Hosts) -> (Command, Digest) {
-        let same_version = self.races && hosts.random.u32(0..100) < 50;
-        if !same_version || desk.next_version == 0 {
-            desk.next_version += 1;
+    fn submit(&self, shared: &mut SharedStatus, hosts: &mut Hosts) -> (Command, Digest) {
+        let same_version = self.reuses_versions && hosts.random.u32(0..100) < 50;
+        if !same_version || shared.next_version == 0 {
+            shared.next_version += 1;
         }
-        desk.next_revision += 1;
-        let bundle = bundle_of(desk.next_revision);
+        shared.next_revision += 1;
+        let bundle = bundle_of(shared.next_revision);
         let compressed = BundleUpdate::compress(&bundle);
-        (Command::Submit { version: desk.next_version, compressed }, bundle.digest())
+        (Command::Submit { version: shared.next_version, compressed }, bundle.digest())
     }
 
     fn send(&mut self, hosts: &mut Hosts) {
@@ -142,23 +150,23 @@
         let control = Node::Control(self.controls[pending.target % self.controls.len()]);
         let command = SimCommand::Config(pending.request.clone());
         hosts.send(node, control, Packet::Propose(call, command));
-        hosts.timer(node, ANSWER_TIMEOUT_MS, Timer::CallTimeout(call));
+        hosts.set_timer(node, ANSWER_TIMEOUT_MS, Timer::CallTimeout(call));
     }
 
-    fn on_lost(&mut self, call: CallId, leader: Option<u64>, hosts: &mut Hosts) {
+    fn on_call_lost(&mut self, call: CallId, leader: Option<u64>, hosts: &mut Hosts) {
         let Some(pending) = &mut self.pending else { return };
         if pending.call != call {
             return;
         }
-        let named = self.controls.iter().position(|control| Some(*control) == leader);
-        pending.target = named.unwrap_or(pending.target + 1);
-        // A pause by way of a timer of the old call: the new one is sent when it fires.
-        let pause_ms = hosts.random.u64(RESEND_PAUSE_MS);
+        let hinted = self.controls.iter().position(|control| Some(*control) == leader);
+        pending.target = hinted.unwrap_or(pending.target + 1);
+        // Call id 0 marks the request as waiting for its resend timer.
+        let delay_ms = hosts.random.u64(RESEND_DELAY_MS);
         pending.call = 0;
-        hosts.timer(self.node(), pause_ms, Timer::SendReport);
+        hosts.set_timer(self.node(), delay_ms, Timer::SendReport);
     }
 
-    /// The pause before a resend is over.
+    /// Resends the pending request after the resend delay.
     pub fn resend(&mut self, hosts: &mut Hosts) {
         if self.pending.as_ref().is_some_and(|pending| pending.call == 0) {
             self.send(hosts);
@@ -168,7 +176,7 @@
     pub fn on_packet(
         &mut self,
         packet: Packet,
-        desk: &mut Desk,
+        shared: &mut SharedStatus,
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) {
@@ -176,13 +184,15 @@
             Packet::ProposeAnswer(call, ProposalReply::Config(answer))
                 if self.pending.as_ref().is_some_and(|pending| pending.call == call) =>
             {
-                let pending = self.pending.take().expect("it was just there");
-                learn(self.number, &pending, &answer, desk, checker);
+                let pending = self.pending.take().expect("checked by the guard");
+                record_answer(self.number, &pending, &answer, shared, checker);
             }
             Packet::ProposeAnswer(call, ProposalReply::NotLeader { leader }) => {
-                self.on_lost(call, leader, hosts);
+                self.on_call_lost(call, leader, hosts);
+            }
+            Packet::ProposeAnswer(call, _) | Packet::Reset(call) => {
+                self.on_call_lost(call, None, hosts)
             }
-            Packet::ProposeAnswer(call, _) | Packet::Reset(call) => self.on_lost(call, None, hosts),
             _ => {}
         }
     }
@@ -197,11 +207,11 @@
     }
 }
 
-fn learn(
+fn record_answer(
     operator: usize,
     pending: &Pending,
     answer: &Answer,
-    desk: &mut Desk,
+    shared: &mut SharedStatus,
     checker: &mut Checker,
 ) {
     if answer.is_err() {
@@ -214,15 +224,16 @@
                 _ => pending.digest,
             };
             checker.on_accepted(&pending.request.request_id, digest, accepted);
-            learn_accepted(operator, accepted, pending, desk);
+            record_accepted(operator, accepted, pending, shared);
         }
-        Err(Refusal::GenerationConflict { current, .. }) => desk.generation = *current,
+        Err(Refusal::GenerationConflict { current, .. }) => shared.generation = *current,
         Err(Refusal::RolloutInProgress { generation }) => {
-            desk.rollout.get_or_insert((*generation, 1));
+            shared.rollout.get_or_insert((*generation, 1));
         }
         Err(Refusal::NoSuchRollout { .. }) => {
-            // Another operator advanced or withdrew it: look at the next stage, then give up.
-            desk.rollout = match desk.rollout {
+            // Another operator advanced or withdrew it: tries the next stages, up to the third, then
+            // forgets the rollout.
+            shared.rollout = match shared.rollout {
                 Some((generation, stage)) if stage < 3 => Some((generation, stage + 1)),
                 _ => None,
             };
@@ -231,22 +242,27 @@
     }
 }
 
-fn learn_accepted(operator: usize, accepted: &Accepted, pending: &Pending, desk: &mut Desk) {
+fn record_accepted(
+    operator: usize,
+    accepted: &Accepted,
+    pending: &Pending,
+    shared: &mut SharedStatus,
+) {
     match accepted {
-        Accepted::Submitted { digest, .. } => desk.submitted.push((*digest, operator)),
-        Accepted::Approved { digest } => desk.approved.push(*digest),
+        Accepted::Submitted { digest, .. } => shared.submitted.push((*digest, operator)),
+        Accepted::Approved { digest } => shared.approved.push(*digest),
         Accepted::Rolled { generation } => {
-            desk.generation = desk.generation.max(*generation);
+            shared.generation = shared.generation.max(*generation);
             let staged = matches!(&pending.request.command,
                 Command::Roll { stages, .. } if stages.len() > 1);
-            desk.rollout = staged.then_some((*generation, 1));
+            shared.rollout = staged.then_some((*generation, 1));
         }
         Accepted::Advanced { generation, stages, complete } => {
-            desk.rollout = (!complete).then_some((*generation, *stages));
+            shared.rollout = (!complete).then_some((*generation, *stages));
         }
         Accepted::Withdrawn { generation, .. } => {
-            desk.generation = desk.generation.max(*generation);
-            desk.rollout = None;
+            shared.generation = shared.generation.max(*generation);
+            shared.rollout = None;
         }
         _ => {}
     }
--- a/crates/simulator/src/packet.rs
+++ b/crates/simulator/src/packet.rs
@@ -1,4 +1,4 @@
-//! What travels over the simulated network.
+//! Messages, timers and process ids of the simulated network.
 
 use claims::{ClaimAnswer, ClaimCommand};
 use consensus::Message;
@@ -7,7 +7,7 @@
 use speedy::{Readable, Writable};
 use wire::{ProxyPoll, ProxyReply, ReportReply, ReportRequest, WatchReply, WatchRequest};
 
-/// A process.
+/// Address of a simulated process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Node {
     Control(u64),
@@ -16,17 +16,17 @@
     Operator(usize),
 }
 
-/// Identifies one request of one process, so that a late answer is not taken for another's.
+/// Identifies a request within its sender, so that a late answer is not matched to another request.
 pub(crate) type CallId = u64;
 
-/// What the simulated control replicates: configuration and claims in one log.
+/// Command in the replicated log of the control plane, which holds both configuration and claims.
 #[derive(Clone, Debug, PartialEq, Readable, Writable)]
 pub(crate) enum SimCommand {
     Config(Request),
     Claim(ClaimCommand),
 }
 
-/// Outcome of a proposal.
+/// Answer to a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ProposalReply {
     Config(Answer),
@@ -34,11 +34,11 @@
     NotLeader {
         leader: Option<u64>,
     },
-    /// Lost for certain.
+    /// The command was not committed and never will be.
     NotRun,
 }
 
-/// A message between processes.
+/// Message between processes.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Packet {
     Raft(Message),
@@ -50,14 +50,14 @@
     PollAnswer(CallId, ProxyReply),
     Propose(CallId, SimCommand),
     ProposeAnswer(CallId, ProposalReply),
-    /// Back ends that leave, from a proxy or a relay.
-    Marks(Vec<LeavingMark>),
-    /// The process at the other end is gone (connection refused or reset).
+    /// Back ends that are leaving, as observed by a proxy or a relay.
+    LeavingMarks(Vec<LeavingMark>),
+    /// The peer process is down (connection refused or reset).
     Reset(CallId),
 }
 
 impl Packet {
-    /// The call that a request belongs to.
+    /// Returns the call id if this is a request.
     pub fn request_call(&self) -> Option<CallId> {
         match self {
             Packet::Watch(call, _)
@@ -69,23 +69,23 @@
     }
 }
 
-/// A timer of a process.
+/// Timer of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Timer {
-    /// A control replica's clock.
+    /// Consensus tick of a control replica.
     Tick,
-    /// A request was not answered in time.
+    /// Timeout of a request.
     CallTimeout(CallId),
-    /// A relay's held request of a proxy has waited long enough.
-    HoldOver(CallId),
+    /// End of a relay's hold time for the long poll of a proxy.
+    HoldExpired(CallId),
     /// A relay sends its next watch request.
     SendWatch,
-    /// A relay sends its next report.
+    /// A relay sends its next report, or an operator resends its request.
     SendReport,
-    /// A relay reads the platform's list.
-    ReadList,
-    /// A proxy connects.
+    /// A relay reads the platform's endpoint list.
+    PollPlatform,
+    /// A proxy connects to a relay.
     Connect,
-    /// An operator, or a caller on a proxy's node, does the next thing.
+    /// An operator takes its next action.
     Act,
 }
--- a/crates/simulator/src/proxy_node.rs
+++ b/crates/simulator/src/proxy_node.rs
@@ -1,4 +1,5 @@
-//! A simulated proxy around the product's core, with callers of keyed calls on its node.
+//! Simulated proxy, which drives the production proxy core, with local callers that send calls with
+//! idempotency keys (keyed calls).
 
 use crate::checker::Checker;
 use crate::host::Hosts;
@@ -10,19 +11,19 @@
 use wire::ProxyReply;
 
 const REPLY_TIMEOUT_MS: u64 = 4_000;
-const RECONNECT_MS: std::ops::RangeInclusive<u64> = 0..=200;
+const RECONNECT_DELAY_MS: std::ops::RangeInclusive<u64> = 0..=200;
 const CLAIM_TIMEOUT_MS: u64 = 700;
-/// Longest time for one try of a keyed call, ms.
-const CLAIM_LIMIT_MS: u64 = 2_000;
+/// Deadline of one attempt of a keyed call.
+const KEYED_ATTEMPT_LIMIT_MS: u64 = 2_000;
 const CLAIM_KEEP_MS: u64 = 3_600_000;
 
-/// A try of a keyed call in progress at this proxy.
-struct KeyedTry {
+/// Attempt of a keyed call in progress at this proxy.
+struct KeyedAttempt {
     key: String,
     attempt: u64,
     call: CallId,
     target: usize,
-    give_up_ms: u64,
+    deadline_ms: u64,
 }
 
 pub(crate) struct ProxyNode {
@@ -32,16 +33,16 @@
     pub disk: Option<Preparation>,
     pub process: u64,
     chooser: RelayChooser,
-    /// What a new process begins with: its own zone's relay.
-    first_chooser: RelayChooser,
+    /// Initial state of a new process, which prefers a relay of its own zone.
+    initial_chooser: RelayChooser,
     relays: Vec<usize>,
     call: Option<CallId>,
     next_call: CallId,
     weakness: Option<ProxyWeakness>,
-    /// Broken variant: a lost answer is told to be not run.
-    pub mistells: bool,
+    /// Broken variant: a call whose answer was lost is reported as not executed.
+    pub reports_lost_as_not_run: bool,
     controls: Vec<u64>,
-    tries: Vec<KeyedTry>,
+    attempts: Vec<KeyedAttempt>,
 }
 
 impl ProxyNode {
@@ -70,15 +71,15 @@
             has_disk: number % 2 == 1,
             disk: None,
             process: 0,
-            first_chooser: chooser.clone(),
+            initial_chooser: chooser.clone(),
             chooser,
             relays: (0..relay_zones.len()).collect(),
             call: None,
             next_call: 0,
             weakness,
-            mistells: false,
+            reports_lost_as_not_run: false,
             controls,
-            tries: Vec::new(),
+            attempts: Vec::new(),
         }
     }
 
@@ -95,7 +96,7 @@
         self.controls = controls;
     }
 
-    /// A new process begins with what its disk holds.
+    /// Starts a new process from what its disk holds.
     pub fn restart(&mut self, hosts: &mut Hosts) {
         self.process += 1;
         let stored = self.disk.clone().filter(|_| self.has_disk);
@@ -103,13 +104,13 @@
         if let Some(weakness) = self.weakness {
             self.core.weaken(weakness);
         }
-        self.chooser = self.first_chooser.clone();
+        self.chooser = self.initial_chooser.clone();
         self.call = None;
-        self.tries.clear();
-        hosts.timer(self.node(), 0, Timer::Connect);
+        self.attempts.clear();
+        hosts.set_timer(self.node(), 0, Timer::Connect);
     }
 
-    /// The relay in use and the open call to it.
+    /// Returns the current relay and the open call to it.
     pub fn open_call(&self) -> Option<(usize, CallId)> {
         self.call.map(|call| (self.relay(), call))
     }
@@ -124,7 +125,7 @@
                 self.core.on_connect();
                 self.send_poll(hosts);
             }
-            Timer::CallTimeout(call) => self.on_lost(*call, hosts, checker),
+            Timer::CallTimeout(call) => self.on_call_lost(*call, hosts, checker),
             _ => {}
         }
     }
@@ -136,7 +137,7 @@
                 self.on_reply(reply, hosts, checker);
             }
             Packet::ProposeAnswer(call, reply) => self.on_claim_reply(call, reply, hosts, checker),
-            Packet::Reset(call) => self.on_lost(call, hosts, checker),
+            Packet::Reset(call) => self.on_call_lost(call, hosts, checker),
             _ => {}
         }
     }
@@ -146,22 +147,22 @@
         self.call = Some(call);
         let poll = self.core.poll();
         hosts.send(self.node(), Node::Relay(self.relay()), Packet::Poll(call, poll));
-        hosts.timer(self.node(), REPLY_TIMEOUT_MS, Timer::CallTimeout(call));
+        hosts.set_timer(self.node(), REPLY_TIMEOUT_MS, Timer::CallTimeout(call));
     }
 
-    fn on_lost(&mut self, call: CallId, hosts: &mut Hosts, checker: &mut Checker) {
+    fn on_call_lost(&mut self, call: CallId, hosts: &mut Hosts, checker: &mut Checker) {
         if self.call == Some(call) {
             self.call = None;
             self.chooser.on_failure(hosts.clock_ms(self.node()));
             self.reconnect(hosts);
-        } else if let Some(position) = self.tries.iter().position(|one| one.call == call) {
+        } else if let Some(position) = self.attempts.iter().position(|keyed| keyed.call == call) {
             self.try_next_control(position, None, hosts, checker);
         }
     }
 
     fn reconnect(&mut self, hosts: &mut Hosts) {
-        let pause_ms = hosts.random.u64(RECONNECT_MS);
-        hosts.timer(self.node(), pause_ms, Timer::Connect);
+        let delay_ms = hosts.random.u64(RECONNECT_DELAY_MS);
+        hosts.set_timer(self.node(), delay_ms, Timer::Connect);
     }
 
     fn on_reply(&mut self, reply: ProxyReply, hosts: &mut Hosts, checker: &mut Checker) {
@@ -181,7 +182,7 @@
                 self.core.commit(preparation);
             }
             ReplyEffect::Retry { after_ms } => {
-                hosts.timer(self.node(), u64::from(after_ms), Timer::Connect);
+                hosts.set_timer(self.node(), u64::from(after_ms), Timer::Connect);
                 return;
             }
             ReplyEffect::Leave => {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// A back end told this proxy that it leaves.
+    /// Records that a back end told this proxy that it is leaving.
     pub fn observe_leaving(
         &mut self,
         key: &EndpointKey,
@@ -210,36 +211,36 @@
         mark
     }
 
-    /// The relay to which observations are told.
+    /// Returns the relay to which observations are reported.
     pub fn current_relay(&self) -> usize {
         self.relay()
     }
 
-    /// A caller sends a keyed call through this proxy.
+    /// Starts an attempt of a keyed call.
     pub fn begin_keyed(&mut self, key: &str, hosts: &mut Hosts) {
         let attempt = hosts.random.u64(..);
         let target = hosts.random.usize(..self.controls.len());
-        let give_up_ms = hosts.clock_ms(self.node()) + CLAIM_LIMIT_MS;
-        let one = KeyedTry { key: key.to_owned(), attempt, call: 0, target, give_up_ms };
-        self.tries.push(one);
-        self.send_begin(self.tries.len() - 1, hosts);
+        let deadline_ms = hosts.clock_ms(self.node()) + KEYED_ATTEMPT_LIMIT_MS;
+        let keyed = KeyedAttempt { key: key.to_owned(), attempt, call: 0, target, deadline_ms };
+        self.attempts.push(keyed);
+        self.send_begin(self.attempts.len() - 1, hosts);
     }
 
     fn send_begin(&mut self, position: usize, hosts: &mut Hosts) {
         let call = self.new_call();
         let node = self.node();
-        let one = &mut self.tries[position];
-        one.call = call;
+        let keyed = &mut self.attempts[position];
+        keyed.call = call;
         let command = ClaimCommand::Begin {
-            key: one.key.clone(),
+            key: keyed.key.clone(),
             request: [0; 32],
-            attempt: one.attempt,
+            attempt: keyed.attempt,
             now_ms: hosts.now_ms,
             keep_ms: CLAIM_KEEP_MS,
         };
-        let control = Node::Control(self.controls[one.target % self.controls.len()]);
+        let control = Node::Control(self.controls[keyed.target % self.controls.len()]);
         hosts.send(node, control, Packet::Propose(call, SimCommand::Claim(command)));
-        hosts.timer(node, CLAIM_TIMEOUT_MS, Timer::CallTimeout(call));
+        hosts.set_timer(node, CLAIM_TIMEOUT_MS, Timer::CallTimeout(call));
     }
 
     fn try_next_control(
@@ -249,17 +250,20 @@
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) {
-        let named = self.controls.iter().position(|control| Some(*control) == leader);
+        let hinted = self.controls.iter().position(|control| Some(*control) == leader);
         let now_ms = hosts.clock_ms(self.node());
-        let one = &mut self.tries[position];
-        if now_ms >= one.give_up_ms {
-            // Nothing was sent to a back end: the caller is told so, and the claim released.
-            let one = self.tries.remove(position);
-            checker.on_told(&one.key, true);
-            self.tell_control(ClaimCommand::Release { key: one.key, attempt: one.attempt }, hosts);
+        let keyed = &mut self.attempts[position];
+        if now_ms >= keyed.deadline_ms {
+            // Nothing was sent to a back end: reports the call as not executed, releases the claim.
+            let keyed = self.attempts.remove(position);
+            checker.on_verdict(&keyed.key, true);
+            self.propose_claim(
+                ClaimCommand::Release { key: keyed.key, attempt: keyed.attempt },
+                hosts,
+            );
             return;
         }
-        one.target = named.unwrap_or(one.target + 1);
+        keyed.target = hinted.unwrap_or(keyed.target + 1);
         self.send_begin(position, hosts);
     }
 
@@ -270,45 +274,45 @@
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) {
-        let Some(position) = self.tries.iter().position(|one| one.call == call) else { return };
+        let Some(index) = self.attempts.iter().position(|keyed| keyed.call == call) else { return };
         match reply {
             ProposalReply::Claim(answer) => {
-                let one = self.tries.remove(position);
-                self.on_claim_answer(&one, &answer, hosts, checker);
+                let keyed = self.attempts.remove(index);
+                self.on_claim_answer(&keyed, &answer, hosts, checker);
             }
             ProposalReply::NotLeader { leader } => {
-                self.try_next_control(position, leader, hosts, checker);
+                self.try_next_control(index, leader, hosts, checker);
             }
-            _ => self.try_next_control(position, None, hosts, checker),
+            _ => self.try_next_control(index, None, hosts, checker),
         }
     }
 
     fn on_claim_answer(
         &mut self,
-        one: &KeyedTry,
+        keyed: &KeyedAttempt,
         answer: &ClaimAnswer,
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) {
-        let (key, attempt) = (one.key.clone(), one.attempt);
+        let (key, attempt) = (keyed.key.clone(), keyed.attempt);
         match answer {
             ClaimAnswer::Started => {
                 checker.on_run(&key);
-                // The back end's answer is lost in a third of the runs.
+                // The back end's answer is lost in a third of the executions.
                 let answered = hosts.random.u32(0..3) > 0;
-                checker.on_told(&key, self.mistells && !answered);
+                checker.on_verdict(&key, self.reports_lost_as_not_run && !answered);
                 if answered {
                     let outcome = Outcome { status: 200, content_type: String::new(), body: None };
-                    self.tell_control(ClaimCommand::Finish { key, attempt, outcome }, hosts);
+                    self.propose_claim(ClaimCommand::Finish { key, attempt, outcome }, hosts);
                 }
             }
-            ClaimAnswer::MayHaveRun => checker.on_told(&key, self.mistells),
-            ClaimAnswer::Recorded(_) => checker.on_told(&key, false),
-            _ => checker.on_told(&key, true),
+            ClaimAnswer::MayHaveRun => checker.on_verdict(&key, self.reports_lost_as_not_run),
+            ClaimAnswer::Recorded(_) => checker.on_verdict(&key, false),
+            _ => checker.on_verdict(&key, true),
         }
     }
 
-    fn tell_control(&mut self, command: ClaimCommand, hosts: &mut Hosts) {
+    fn propose_claim(&mut self, command: ClaimCommand, hosts: &mut Hosts) {
         let call = self.new_call();
         let target = hosts.random.usize(..self.controls.len());
         let control = Node::Control(self.controls[target]);
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -1,4 +1,4 @@
-//! A simulated relay around the product's core.
+//! Simulated relay, which drives the production relay core.
 
 use crate::host::Hosts;
 use crate::packet::{CallId, Node, Packet, Timer};
@@ -9,21 +9,21 @@
 
 const WATCH_TIMEOUT_MS: u64 = 1_200;
 const REPORT_INTERVAL_MS: u64 = 500;
-const HOLD_MS: u64 = 2_500;
-const RETRY_MS: std::ops::RangeInclusive<u64> = 1..=100;
-const LIST_INTERVAL_MS: u64 = 500;
+const LONG_POLL_MS: u64 = 2_500;
+const RETRY_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=100;
+const PLATFORM_POLL_INTERVAL_MS: u64 = 500;
 const PROXY_LEASE_MS: u64 = 6_000;
 const MAX_CATCH_UPS: usize = 4;
 
-/// A conversation with control.
+/// Request channel to a control replica, with at most one open call.
 #[derive(Default)]
-struct Link {
+struct ControlChannel {
     target: usize,
     call: Option<CallId>,
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct HeldPoll {
     session: SessionId,
     call: CallId,
     proxy: Node,
@@ -33,16 +33,16 @@
     pub number: usize,
     pub core: RelayCore,
     controls: Vec<u64>,
-    watch: Link,
-    report: Link,
-    report_ticket: Option<ReportTicket>,
+    watch: ControlChannel,
+    report: ControlChannel,
+    confirmation_ticket: Option<ConfirmationTicket>,
     sessions: BTreeMap<Node, SessionId>,
-    held: Vec<Held>,
+    held_polls: Vec<HeldPoll>,
     stays_with_dead_leader: bool,
     next_call: CallId,
 }
 
-type ReportTicket = relay::Ticket;
+type ConfirmationTicket = relay::Ticket;
 
 impl RelayNode {
     pub fn start(
@@ -63,21 +63,21 @@
             weakness,
         };
         let node = Node::Relay(number);
-        hosts.timer(node, 0, Timer::SendWatch);
-        hosts.timer(node, 0, Timer::SendReport);
-        hosts.timer(node, 0, Timer::ReadList);
+        hosts.set_timer(node, 0, Timer::SendWatch);
+        hosts.set_timer(node, 0, Timer::SendReport);
+        hosts.set_timer(node, 0, Timer::PollPlatform);
         let target = hosts.random.usize(..controls.len());
         RelayNode {
             number,
             core: RelayCore::new(parameters),
-            watch: Link { target, call: None },
-            report: Link { target, call: None },
+            watch: ControlChannel { target, call: None },
+            report: ControlChannel { target, call: None },
             controls,
-            report_ticket: None,
+            confirmation_ticket: None,
             sessions: BTreeMap::new(),
-            held: Vec::new(),
+            held_polls: Vec::new(),
             stays_with_dead_leader,
-            // Calls of an earlier process of this name must not be taken for this one's.
+            // Answers to calls of an earlier process of this relay must not match calls of this one.
             next_call: hosts.now_ms << 20,
         }
     }
@@ -91,19 +91,19 @@
         self.next_call
     }
 
-    /// Addresses of control after a membership change.
+    /// Updates the ids of the control replicas after a membership change.
     pub fn set_controls(&mut self, controls: Vec<u64>) {
         self.controls = controls;
         self.watch.target %= self.controls.len();
         self.report.target %= self.controls.len();
     }
 
-    /// The leader this relay talks to, if the call is still open.
+    /// Returns the ids of the open calls to a control replica.
     pub fn open_calls_to(&self, control: u64) -> Vec<CallId> {
         [&self.watch, &self.report]
             .into_iter()
-            .filter(|link| self.controls[link.target] == control)
-            .filter_map(|link| link.call)
+            .filter(|channel| self.controls[channel.target] == control)
+            .filter_map(|channel| channel.call)
             .collect()
     }
 
@@ -111,12 +111,12 @@
         match timer {
             Timer::SendWatch => self.send_watch(hosts),
             Timer::SendReport => self.send_report(hosts),
-            Timer::CallTimeout(call) => self.on_lost(*call, hosts),
-            Timer::HoldOver(call) => self.on_hold_over(*call, hosts),
-            Timer::ReadList => {
+            Timer::CallTimeout(call) => self.on_call_lost(*call, hosts),
+            Timer::HoldExpired(call) => self.on_hold_expired(*call, hosts),
+            Timer::PollPlatform => {
                 self.core.endpoints_mut().merge_list(listed);
-                hosts.timer(self.node(), LIST_INTERVAL_MS, Timer::ReadList);
-                self.answer_held(hosts);
+                hosts.set_timer(self.node(), PLATFORM_POLL_INTERVAL_MS, Timer::PollPlatform);
+                self.answer_held_polls(hosts);
             }
             _ => {}
         }
@@ -131,18 +131,18 @@
                 self.on_report_answer(&reply, hosts);
             }
             Packet::Poll(call, poll) => self.on_poll(from, call, &poll, hosts),
-            Packet::Reset(call) => self.on_lost(call, hosts),
+            Packet::Reset(call) => self.on_call_lost(call, hosts),
             _ => {}
         }
     }
 
-    /// A mark from a proxy or another relay; true if it was news.
-    pub fn observe(&mut self, marks: Vec<LeavingMark>, hosts: &mut Hosts) -> bool {
-        let news = self.core.observe_leaving(marks) > 0;
-        if news {
-            self.answer_held(hosts);
+    /// Records leaving marks from a proxy or another relay. Returns whether any of them was new.
+    pub fn on_leaving_marks(&mut self, marks: Vec<LeavingMark>, hosts: &mut Hosts) -> bool {
+        let changed = self.core.observe_leaving(marks) > 0;
+        if changed {
+            self.answer_held_polls(hosts);
         }
-        news
+        changed
     }
 
     fn send_watch(&mut self, hosts: &mut Hosts) {
@@ -150,7 +150,7 @@
         self.watch.call = Some(call);
         let control = Node::Control(self.controls[self.watch.target]);
         hosts.send(self.node(), control, Packet::Watch(call, self.core.watch_request()));
-        hosts.timer(self.node(), WATCH_TIMEOUT_MS, Timer::CallTimeout(call));
+        hosts.set_timer(self.node(), WATCH_TIMEOUT_MS, Timer::CallTimeout(call));
     }
 
     fn send_report(&mut self, hosts: &mut Hosts) {
@@ -159,16 +159,16 @@
         }
         let call = self.new_call();
         self.report.call = Some(call);
-        self.report_ticket = self.core.confirmation_wanted();
+        self.confirmation_ticket = self.core.confirmation_wanted();
         let report = self.core.report(hosts.clock_ms(self.node()));
-        let confirm = self.report_ticket.is_some();
+        let confirm = self.confirmation_ticket.is_some();
         let control = Node::Control(self.controls[self.report.target]);
         let request = ReportRequest { report, confirm };
         hosts.send(self.node(), control, Packet::Report(call, request));
-        hosts.timer(self.node(), WATCH_TIMEOUT_MS, Timer::CallTimeout(call));
+        hosts.set_timer(self.node(), WATCH_TIMEOUT_MS, Timer::CallTimeout(call));
     }
 
-    fn on_lost(&mut self, call: CallId, hosts: &mut Hosts) {
+    fn on_call_lost(&mut self, call: CallId, hosts: &mut Hosts) {
         if self.watch.call == Some(call) {
             self.watch.call = None;
             self.redirect_watch(None, hosts);
@@ -182,19 +182,19 @@
         if !self.stays_with_dead_leader {
             self.watch.target = self.next_target(self.watch.target, leader);
         }
-        let pause_ms = hosts.random.u64(RETRY_MS);
-        hosts.timer(self.node(), pause_ms, Timer::SendWatch);
+        let delay_ms = hosts.random.u64(RETRY_DELAY_MS);
+        hosts.set_timer(self.node(), delay_ms, Timer::SendWatch);
     }
 
     fn redirect_report(&mut self, leader: Option<u64>, hosts: &mut Hosts) {
         self.report.target = self.next_target(self.report.target, leader);
-        let pause_ms = hosts.random.u64(RETRY_MS);
-        hosts.timer(self.node(), pause_ms, Timer::SendReport);
+        let delay_ms = hosts.random.u64(RETRY_DELAY_MS);
+        hosts.set_timer(self.node(), delay_ms, Timer::SendReport);
     }
 
     fn next_target(&self, current: usize, leader: Option<u64>) -> usize {
-        let named = self.controls.iter().position(|control| Some(*control) == leader);
-        match named {
+        let hinted = self.controls.iter().position(|control| Some(*control) == leader);
+        match hinted {
             Some(position) if position != current => position,
             _ => (current + 1) % self.controls.len(),
         }
@@ -205,13 +205,13 @@
         match reply {
             WatchReply::NotLeader { leader } => self.redirect_watch(leader, hosts),
             WatchReply::Busy { retry_after_ms } => {
-                hosts.timer(self.node(), u64::from(retry_after_ms), Timer::SendWatch);
+                hosts.set_timer(self.node(), u64::from(retry_after_ms), Timer::SendWatch);
             }
             reply => {
-                let news = self.core.on_watch_reply(reply, hosts.clock_ms(self.node()));
+                let changed = self.core.on_watch_reply(reply, hosts.clock_ms(self.node()));
                 self.send_watch(hosts);
-                if news {
-                    self.answer_held(hosts);
+                if changed {
+                    self.answer_held_polls(hosts);
                 }
             }
         }
@@ -223,21 +223,21 @@
             ReportReply::NotLeader { leader } => self.redirect_report(*leader, hosts),
             ReportReply::Done { confirmed_revision } => {
                 if let (Some(ticket), Some(revision)) =
-                    (self.report_ticket.take(), confirmed_revision)
+                    (self.confirmation_ticket.take(), confirmed_revision)
                 {
                     self.core.on_confirmed(ticket, *revision);
-                    self.answer_held(hosts);
+                    self.answer_held_polls(hosts);
                 }
                 let wanted = self.core.confirmation_wanted().is_some();
-                let pause_ms = if wanted { 10 } else { REPORT_INTERVAL_MS };
-                hosts.timer(self.node(), pause_ms, Timer::SendReport);
+                let delay_ms = if wanted { 10 } else { REPORT_INTERVAL_MS };
+                hosts.set_timer(self.node(), delay_ms, Timer::SendReport);
             }
         }
     }
 
     fn on_poll(&mut self, proxy: Node, call: CallId, poll: &ProxyPoll, hosts: &mut Hosts) {
         let now_ms = hosts.clock_ms(self.node());
-        self.held.retain(|held| held.proxy != proxy);
+        self.held_polls.retain(|held| held.proxy != proxy);
         let session = match (self.sessions.get(&proxy), poll) {
             (Some(session), ProxyPoll::Applied) => {
                 self.core.on_poll(*session, poll, now_ms);
@@ -256,30 +256,30 @@
                 session
             }
         };
-        self.held.push(Held { session, call, proxy });
-        hosts.timer(self.node(), HOLD_MS, Timer::HoldOver(call));
+        self.held_polls.push(HeldPoll { session, call, proxy });
+        hosts.set_timer(self.node(), LONG_POLL_MS, Timer::HoldExpired(call));
         if self.core.confirmation_wanted().is_some() {
             self.send_report(hosts);
         }
-        self.answer_held(hosts);
+        self.answer_held_polls(hosts);
     }
 
-    fn on_hold_over(&mut self, call: CallId, hosts: &mut Hosts) {
-        let position = self.held.iter().position(|held| held.call == call);
-        if let Some(held) = position.map(|position| self.held.remove(position)) {
+    fn on_hold_expired(&mut self, call: CallId, hosts: &mut Hosts) {
+        let position = self.held_polls.iter().position(|held| held.call == call);
+        if let Some(held) = position.map(|position| self.held_polls.remove(position)) {
             let reply = self.core.unchanged(hosts.clock_ms(self.node()));
             hosts.send(self.node(), held.proxy, Packet::PollAnswer(call, reply));
         }
     }
 
-    fn answer_held(&mut self, hosts: &mut Hosts) {
-        for held in std::mem::take(&mut self.held) {
+    fn answer_held_polls(&mut self, hosts: &mut Hosts) {
+        for held in std::mem::take(&mut self.held_polls) {
             match self.core.answer(held.session, hosts.clock_ms(self.node())) {
                 Some(reply) => {
                     let answer = Packet::PollAnswer(held.call, reply);
                     hosts.send(self.node(), held.proxy, answer);
                 }
-                None => self.held.push(held),
+                None => self.held_polls.push(held),
             }
         }
     }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,16 +1,16 @@
-//! Which faults a run has, and which mechanism may be switched off.
+//! Fault scenarios, and broken variants in which one safety mechanism is disabled.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A family of faults; the seed decides when and where they strike.
+/// A family of faults. The seed determines their times and targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Scenario {
     /// No faults.
     Calm,
     /// Single processes are killed and restart.
     Kill,
-    /// Many processes are killed at once and reconnect in a storm.
+    /// Many processes are killed at once and reconnect together (thundering herd).
     Herd,
     /// A control replica loses its disk and is replaced by a new member.
     LostDisk,
@@ -20,30 +20,30 @@
     Cut,
     /// Messages are lost in one direction only.
     OneWayCut,
-    /// Control machines and relays are cut off from control replicas in silence.
+    /// Control leaders and relays are partitioned from control replicas without connection errors.
     Silence,
-    /// Processes stop for long and wake up believing what they believed.
+    /// Processes are paused for a long time and resume with stale state.
     Freeze,
-    /// Machines are suspended for seconds; their steady clocks do not count it.
+    /// Machines are suspended for seconds. A monotonic clock does not count that time.
     Sleep,
     /// Clocks run at different speeds.
     Skew,
-    /// Messages are late, out of order and doubled.
+    /// Messages are delayed, reordered, duplicated and lost.
     Delay,
-    /// The whole control source is gone for a while.
+    /// All control replicas are down for a while.
     Outage,
-    /// Operators race under equal version numbers and resend after losing answers.
+    /// Operators submit concurrently under equal version numbers and resend after lost answers.
     Race,
-    /// A second machine is lost right after a repair.
+    /// A second control replica loses its disk right after the first was replaced.
     RepairThenLoss,
-    /// Proxies restart after hundreds of changes have passed them by.
+    /// Proxies restart after missing hundreds of changes.
     Behind,
-    /// Two of the above at once.
+    /// Two of the other scenarios at once.
     Two,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios, in the order in which [`Scenario::for_seed`] cycles through them.
     pub const ALL: [Scenario; 17] = [
         Scenario::Calm,
         Scenario::Kill,
@@ -64,7 +64,7 @@
         Scenario::Two,
     ];
 
-    /// The stable spelling.
+    /// Returns the name used on the command line and in reports, which must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Scenario::Calm => "calm",
@@ -87,13 +87,14 @@
         }
     }
 
-    /// The scenario for a seed when none was named: each in turn.
+    /// Returns the default scenario of a seed; consecutive seeds cycle through all scenarios.
     pub fn for_seed(seed: u64) -> Scenario {
         Scenario::ALL[(seed % Scenario::ALL.len() as u64) as usize]
     }
 
-    /// The families in force: itself, or the two that the seed picks.
-    pub(crate) fn families(self, random: &mut fastrand::Rng) -> Vec<Scenario> {
+    /// Returns the scenarios to inject: this one, or for [`Scenario::Two`] two different
+    /// random ones other than [`Scenario::Calm`].
+    pub(crate) fn components(self, random: &mut fastrand::Rng) -> Vec<Scenario> {
         if self != Scenario::Two {
             return vec![self];
         }
@@ -119,45 +120,45 @@
     }
 }
 
-/// A product with one mechanism switched off, which a checker must notice.
+/// A variant with one safety mechanism disabled, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenVariant {
-    /// A voter votes twice in one term.
+    /// A replica votes twice in one term.
     DoubleVote,
-    /// Leaders answer reads without a quorum.
+    /// Leaders answer reads without confirmation by a quorum.
     UnconfirmedReads,
     /// Disks report success before data is durable.
     LyingDisks,
-    /// A replica whose disk was lost returns under its old id.
+    /// A replica that lost its disk rejoins under its old id.
     SameIdAfterLostDisk,
-    /// Relays serve starting proxies without confirmation.
+    /// Relays serve starting proxies without having control confirm their revision.
     RelayWithoutConfirmation,
     /// Relays send, and proxies apply, a generation older than the one in force.
     AcceptsOlder,
     /// Proxies apply one object of a delta at a time.
     ProxyAppliesUnchecked,
-    /// Proxies forget that a back end leaves.
+    /// Proxies forget that a back end is leaving.
     ProxyForgetsLeaving,
-    /// A second attempt of a keyed call is started.
+    /// A second attempt of a call with an idempotency key is started.
     ClaimStartsTwice,
-    /// A resent operator's request is executed again.
+    /// An operator's resent request is executed again.
     ForgetsAnswers,
-    /// A version number is taken twice.
+    /// A version number is accepted for two different bundles.
     AcceptsVersionTwice,
-    /// A withdrawal counts the generation down.
+    /// A withdrawal decreases the generation number.
     WithdrawCountsDown,
-    /// Relays never look for another control replica.
+    /// Relays never switch to another control replica.
     RelayStaysWithDeadLeader,
-    /// A call whose answer was lost is told to be not run.
+    /// A call whose answer was lost is reported to the caller as not executed.
     LostAnswerToldNotRun,
-    /// Relays take no notice of leaving back ends.
+    /// Relays ignore that back ends are leaving.
     RelayIgnoresLeaving,
-    /// Clocks stand still while machines sleep, and nobody notices.
+    /// Clocks stop while machines are suspended, and the suspension is not detected.
     SteadyClocks,
 }
 
 impl BrokenVariant {
-    /// Every variant.
+    /// All variants.
     pub const ALL: [BrokenVariant; 16] = [
         BrokenVariant::DoubleVote,
         BrokenVariant::UnconfirmedReads,
@@ -177,7 +178,7 @@
         BrokenVariant::SteadyClocks,
     ];
 
-    /// The stable spelling.
+    /// Returns the name used on the command line and in reports, which must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             BrokenVariant::DoubleVote => "double-vote",
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The scenario in which it is looked for.
+    /// Returns the scenario in which the variant must be detected.
     pub fn scenario(self) -> Scenario {
         match self {
             BrokenVariant::DoubleVote => Scenario::Herd,
--- a/crates/simulator/src/workload.rs
+++ b/crates/simulator/src/workload.rs
@@ -1,4 +1,4 @@
-//! Bundles and back ends of a simulated deployment.
+//! Configuration bundles and back ends of a simulated deployment.
 
 use bundle::{Bundle, Object, Priority, Route, SealKey, Service, Target};
 use endpoints::{Endpoint, EndpointKey, EndpointState};
@@ -6,8 +6,9 @@
 const SERVICES: [&str; 3] = ["balance", "payments", "fares"];
 const BACKENDS_PER_SERVICE: usize = 4;
 
-/// A bundle whose routes, services and secrets all change names together with `revision`, so that
-/// any mixture of two revisions has a dangling reference or a wrong digest.
+/// Returns a bundle in which all secrets and routes differ by `revision`, and one service's route
+/// refers to a secret named after it, so that any mixture of two revisions has a dangling reference
+/// or a wrong digest.
 pub(crate) fn bundle_of(revision: u64) -> Bundle {
     let key = SealKey::new(1, [7; 32]);
     let mut objects = Vec::new();
@@ -45,7 +46,7 @@
     Bundle::from_objects(objects)
 }
 
-/// The platform's list at the start: all live.
+/// Returns the initial endpoint list of the platform, in which all back ends are live.
 pub(crate) fn first_list(zones: usize) -> Vec<Endpoint> {
     let mut list = Vec::new();
     for (position, service) in SERVICES.iter().enumerate() {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: everything put together, driven by events until it has converged.
+//! A simulation run: all processes and faults, driven by events until the deployment has converged.
 
 mod convergence;
 mod injection;
@@ -7,10 +7,10 @@
 mod repair;
 
 use crate::checker::{Checker, Violation};
-use crate::control_node::{first_snapshot, ControlNode, ControlWeakness, TICK_MS};
+use crate::control_node::{initial_snapshot, ControlNode, ControlWeakness, TICK_MS};
 use crate::faults::{schedule, Fault};
 use crate::host::{Event, Hosts, NetworkFaults};
-use crate::operators::{Desk, OperatorNode};
+use crate::operators::{OperatorNode, SharedStatus};
 use crate::packet::{Node, Packet, Timer};
 use crate::proxy_node::ProxyNode;
 use crate::relay_node::RelayNode;
@@ -28,47 +28,47 @@
 const RELAYS: usize = 3;
 const PROXIES: usize = 6;
 const OPERATORS: usize = 2;
-/// When faults and operators end, virtual milliseconds.
+/// Virtual time at which faults and operator actions end.
 const FAULTS_END_MS: u64 = 8_000;
-/// Longest time from the end of all faults until everything has converged.
+/// Limit from the end of all faults until convergence.
 const CONVERGENCE_LIMIT_MS: u64 = 20_000;
-/// When operators begin: replicas have elected a leader by then.
-const FIRST_ACT_MS: u64 = 600;
+/// Time of the operators' first action: the replicas have elected a leader by then.
+const FIRST_OPERATOR_ACTION_MS: u64 = 600;
 const STEP_MS: u64 = 50;
 const KEYED_CALL_INTERVAL_MS: u64 = 150;
 const REPAIR_INTERVAL_MS: u64 = 100;
-/// A leaving back end must be out of every proxy's view after this time, without faults.
+/// Time after which no proxy may use a leaving back end, in runs without faults.
 const LEAVING_LIMIT_MS: u64 = 5_000;
 const RETURN_AFTER_MS: u64 = 7_000;
 const MAX_LIST_LAG_MS: u64 = 1_500;
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunParameters {
-    /// Decides everything else.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Family of faults.
+    /// Faults to inject.
     pub scenario: Scenario,
-    /// A mechanism switched off.
+    /// Safety mechanism to disable, if any.
     pub broken: Option<BrokenVariant>,
-    /// Print what happens.
+    /// Whether to print faults and process restarts to standard error.
     pub trace: bool,
 }
 
-/// What came out.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunOutcome {
-    /// Broken invariants; empty for a run that held.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<Violation>,
-    /// From the end of faults until everything had converged, virtual milliseconds.
+    /// Virtual time from the end of faults until convergence, milliseconds.
     pub convergence_ms: u64,
-    /// Generations made.
+    /// Number of requests that would create a generation if accepted.
     pub generations: u64,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
 }
 
-/// Runs one seed.
+/// Runs the simulation of one seed.
 pub fn run_seed(parameters: RunParameters) -> RunOutcome {
     World::new(parameters).run()
 }
@@ -83,28 +83,28 @@
     relays: Vec<Option<RelayNode>>,
     proxies: Vec<ProxyNode>,
     operators: Vec<OperatorNode>,
-    desk: Desk,
+    shared: SharedStatus,
     faults: Vec<(u64, Fault)>,
     restarts: Vec<(u64, Node)>,
-    heals: Vec<(u64, (usize, usize))>,
-    lists: Vec<(u64, Vec<Endpoint>)>,
+    cut_ends: Vec<(u64, (usize, usize))>,
+    platform_lists: Vec<(u64, Vec<Endpoint>)>,
     list_lag_ms: Vec<u64>,
-    returns: Vec<(u64, usize)>,
+    backend_return_times: Vec<(u64, usize)>,
     leaving_checks: Vec<(u64, Endpoint)>,
     repair: Option<Repair>,
     next_member: u64,
     second_loss_pending: bool,
     next_key: u64,
-    open_keys: Vec<(u64, String)>,
+    issued_keys: Vec<(u64, String)>,
     next_repair_ms: u64,
-    next_call_ms: u64,
+    next_keyed_call_ms: u64,
     events: u64,
 }
 
 impl World {
     fn new(parameters: RunParameters) -> Self {
         let mut hosts = Hosts::new(parameters.seed);
-        hosts.steady_clocks = parameters.broken == Some(BrokenVariant::SteadyClocks);
+        hosts.clocks_stop_in_sleep = parameters.broken == Some(BrokenVariant::SteadyClocks);
         let voters: u64 = if parameters.seed % 4 == 3 { 5 } else { 3 };
         let faults = schedule(parameters.scenario, FAULTS_END_MS, &mut hosts.random);
         let list_lag_ms = (0..RELAYS).map(|_| hosts.random.u64(0..MAX_LIST_LAG_MS)).collect();
@@ -118,21 +118,21 @@
             relays: (0..RELAYS).map(|_| None).collect(),
             proxies: Vec::new(),
             operators: Vec::new(),
-            desk: Desk::default(),
+            shared: SharedStatus::default(),
             faults,
             restarts: Vec::new(),
-            heals: Vec::new(),
-            lists: vec![(0, first_list(ZONES))],
+            cut_ends: Vec::new(),
+            platform_lists: vec![(0, first_list(ZONES))],
             list_lag_ms,
-            returns: Vec::new(),
+            backend_return_times: Vec::new(),
             leaving_checks: Vec::new(),
             repair: None,
             next_member: voters + 1,
             second_loss_pending: parameters.scenario == Scenario::RepairThenLoss,
             next_key: 0,
-            open_keys: Vec::new(),
+            issued_keys: Vec::new(),
             next_repair_ms: 0,
-            next_call_ms: 500,
+            next_keyed_call_ms: 500,
             events: 0,
         };
         world.start_everything(voters);
@@ -142,7 +142,7 @@
     fn start_everything(&mut self, voters: u64) {
         let membership = Membership::of_voters(1..=voters);
         for id in 1..=voters {
-            let mut store = MemoryStore::new(first_snapshot(membership.clone()));
+            let mut store = MemoryStore::new(initial_snapshot(membership.clone()));
             if self.is_broken(BrokenVariant::LyingDisks) {
                 store.acknowledge_unsynced();
             }
@@ -159,20 +159,25 @@
             let zone = number % ZONES;
             let controls = self.control_ids();
             let mut proxy = ProxyNode::new(number, zone, &relay_zones, weakness, controls, seed);
-            proxy.mistells = self.is_broken(BrokenVariant::LostAnswerToldNotRun);
+            proxy.reports_lost_as_not_run = self.is_broken(BrokenVariant::LostAnswerToldNotRun);
             self.proxies.push(proxy);
             self.start_proxy(number);
         }
-        let (pace, races) = match self.parameters.scenario {
+        let (action_interval_ms, reuses_versions) = match self.parameters.scenario {
             Scenario::Behind => (5..=25, false),
             Scenario::Race => (20..=120, true),
             _ => (50..=400, self.parameters.seed.is_multiple_of(2)),
         };
         for number in 0..OPERATORS {
             let controls = self.control_ids();
-            self.operators.push(OperatorNode::new(number, controls, pace.clone(), races));
+            self.operators.push(OperatorNode::new(
+                number,
+                controls,
+                action_interval_ms.clone(),
+                reuses_versions,
+            ));
             self.hosts.start(Node::Operator(number), number);
-            self.hosts.timer(Node::Operator(number), FIRST_ACT_MS, Timer::Act);
+            self.hosts.set_timer(Node::Operator(number), FIRST_OPERATOR_ACTION_MS, Timer::Act);
         }
     }
 
@@ -219,9 +224,9 @@
         self.disks.keys().copied().collect()
     }
 
-    fn trace(&self, what: impl FnOnce() -> String) {
+    fn trace(&self, message: impl FnOnce() -> String) {
         if self.parameters.trace {
-            eprintln!("{:>6} ms  {}", self.hosts.now_ms, what());
+            eprintln!("{:>6} ms  {}", self.hosts.now_ms, message());
         }
     }
 
@@ -231,9 +236,9 @@
             now_ms += STEP_MS;
             self.advance(now_ms);
         }
-        self.heal();
+        self.end_faults();
         let mut convergence_ms = 0;
-        while !self.is_over(convergence_ms) {
+        while !self.is_finished(convergence_ms) {
             now_ms += STEP_MS;
             convergence_ms += STEP_MS;
             self.advance(now_ms);
@@ -242,12 +247,12 @@
         RunOutcome {
             violations: self.checker.violations,
             convergence_ms,
-            generations: self.desk.making_requests.len() as u64,
+            generations: self.shared.generation_requests.len() as u64,
             events: self.events,
         }
     }
 
-    fn is_over(&self, convergence_ms: u64) -> bool {
+    fn is_finished(&self, convergence_ms: u64) -> bool {
         self.has_converged()
             || convergence_ms >= CONVERGENCE_LIMIT_MS
             || !self.checker.violations.is_empty()
@@ -273,11 +278,11 @@
                 self.start(node);
             }
         }
-        for pair in take_due(&mut self.heals, now_ms) {
+        for pair in take_due(&mut self.cut_ends, now_ms) {
             self.hosts.faults.cut.remove(&pair);
         }
-        for position in take_due(&mut self.returns, now_ms) {
-            self.backend_returns(position);
+        for position in take_due(&mut self.backend_return_times, now_ms) {
+            self.return_backend(position);
         }
         for endpoint in take_due(&mut self.leaving_checks, now_ms) {
             self.check_leaving(&endpoint);
@@ -286,19 +291,22 @@
             self.next_repair_ms = now_ms + REPAIR_INTERVAL_MS;
             self.continue_repair();
         }
-        if now_ms >= self.next_call_ms && now_ms < FAULTS_END_MS {
-            self.next_call_ms = now_ms + KEYED_CALL_INTERVAL_MS;
-            self.keyed_call();
+        if now_ms >= self.next_keyed_call_ms && now_ms < FAULTS_END_MS {
+            self.next_keyed_call_ms = now_ms + KEYED_CALL_INTERVAL_MS;
+            self.send_keyed_call();
         }
-        self.restart_torn();
+        self.restart_after_torn_writes();
     }
 
-    /// Replicas that died in a write restart from what their disks hold.
-    fn restart_torn(&mut self) {
-        let dead: Vec<(u64, u64)> =
-            self.controls.values().filter_map(|node| Some((node.id, node.died_for_ms?))).collect();
+    /// Schedules restarts of replicas that crashed during a write; they recover from their disks.
+    fn restart_after_torn_writes(&mut self) {
+        let dead: Vec<(u64, u64)> = self
+            .controls
+            .values()
+            .filter_map(|node| Some((node.id, node.restart_after_ms?)))
+            .collect();
         for (id, restart_ms) in dead {
-            self.trace(|| format!("control {id} died in a write"));
+            self.trace(|| format!("control {id} crashed during a write"));
             self.stop_control(id);
             self.restarts.push((self.hosts.now_ms + restart_ms, Node::Control(id)));
         }
@@ -321,12 +329,12 @@
             }
             Node::Operator(number) => {
                 let operator = &mut self.operators[number];
-                let (desk, hosts) = (&mut self.desk, &mut self.hosts);
+                let (shared, hosts) = (&mut self.shared, &mut self.hosts);
                 match event {
                     Event::Timer(Timer::SendReport) => operator.resend(hosts),
-                    Event::Timer(timer) => operator.on_timer(&timer, desk, hosts),
+                    Event::Timer(timer) => operator.on_timer(&timer, shared, hosts),
                     Event::Deliver { packet, .. } => {
-                        operator.on_packet(packet, desk, hosts, &mut self.checker);
+                        operator.on_packet(packet, shared, hosts, &mut self.checker);
                     }
                 }
             }
@@ -336,15 +344,15 @@
     fn handle_control(&mut self, id: u64, event: Event) {
         let Some(control) = self.controls.get_mut(&id) else { return };
         let (hosts, checker) = (&mut self.hosts, &mut self.checker);
-        if let Some(slept_ms) = hosts.take_sleep(Node::Control(id)) {
-            control.note_sleep(slept_ms);
+        if let Some(slept_ms) = hosts.take_unnoticed_sleep(Node::Control(id)) {
+            control.on_machine_sleep(slept_ms);
         }
         match event {
             Event::Timer(timer) => {
                 control.on_timer(&timer, hosts, checker);
-                // One tick after a pause, however long it was, as in the product.
+                // As in production, one tick follows a pause, however long it was.
                 let tick_ms = self.tick_ms.get(&id).copied().unwrap_or(TICK_MS);
-                hosts.timer(Node::Control(id), tick_ms, Timer::Tick);
+                hosts.set_timer(Node::Control(id), tick_ms, Timer::Tick);
             }
             Event::Deliver { from, packet } => control.on_packet(from, packet, hosts, checker),
         }
@@ -352,16 +360,16 @@
 
     fn handle_relay(&mut self, number: usize, event: Event) {
         let listed = match &event {
-            Event::Timer(Timer::ReadList) => self.listed_for(number),
+            Event::Timer(Timer::PollPlatform) => self.platform_list_seen_by(number),
             _ => Vec::new(),
         };
         let Some(relay) = &mut self.relays[number] else { return };
         match event {
             Event::Timer(timer) => relay.on_timer(&timer, &listed, &mut self.hosts),
-            Event::Deliver { packet: Packet::Marks(marks), .. } => {
-                if relay.observe(marks.clone(), &mut self.hosts) {
+            Event::Deliver { packet: Packet::LeavingMarks(marks), .. } => {
+                if relay.on_leaving_marks(marks.clone(), &mut self.hosts) {
                     for other in (0..RELAYS).filter(|other| *other != number) {
-                        let packet = Packet::Marks(marks.clone());
+                        let packet = Packet::LeavingMarks(marks.clone());
                         self.hosts.send(Node::Relay(number), Node::Relay(other), packet);
                     }
                 }
@@ -370,13 +378,13 @@
         }
     }
 
-    fn heal(&mut self) {
-        self.trace(|| "all faults end".to_owned());
-        self.desk.stopped = true;
+    fn end_faults(&mut self) {
+        self.trace(|| "all faults have ended".to_owned());
+        self.shared.stopped = true;
         self.faults.clear();
-        self.heals.clear();
+        self.cut_ends.clear();
         self.hosts.faults = NetworkFaults::default();
-        self.hosts.wake_all();
+        self.hosts.clear_freezes_and_isolation();
         for (_, node) in std::mem::take(&mut self.restarts) {
             if !self.hosts.is_up(node) {
                 self.start(node);
--- a/crates/simulator/src/world/convergence.rs
+++ b/crates/simulator/src/world/convergence.rs
@@ -1,4 +1,4 @@
-//! What must be true in the end.
+//! Convergence test and checks of the final state.
 
 use super::{World, CONVERGENCE_LIMIT_MS};
 use crate::operators::OperatorNode;
@@ -12,11 +12,11 @@
         let view = leader.config.view();
         self.repair.is_none()
             && self.operators.iter().all(OperatorNode::is_idle)
-            && leader.config.newest_generation() >= self.checker.newest_promised()
+            && leader.config.newest_generation() >= self.checker.newest_accepted_generation()
             && self.controls.values().all(|node| node.config == leader.config)
             && self.proxies.iter().all(|proxy| {
                 let target = view.target_for(proxy.core.name());
-                // Before the first generation there is nothing to put in force.
+                // Before the first generation, no configuration is in force.
                 proxy.core.generation().unwrap_or(0) == target.generation
                     && proxy.core.bundle().digest() == target.digest
             })
@@ -28,11 +28,14 @@
         }
         if convergence_ms >= CONVERGENCE_LIMIT_MS {
             let state = self.describe_state();
-            self.checker.violate("convergence", format!("not within the limit: {state}"));
+            self.checker.report(
+                "convergence",
+                format!("not converged within {CONVERGENCE_LIMIT_MS} ms: {state}"),
+            );
         }
         if let Some(node) = self.leader().and_then(|id| self.controls.get(&id)) {
             self.checker.on_final_state(&node.config);
-            let requests = self.desk.making_requests.len() as u64;
+            let requests = self.shared.generation_requests.len() as u64;
             self.checker.on_final_count(node.config.newest_generation(), requests);
         }
         self.checker.on_final_calls();
@@ -58,7 +61,7 @@
         )
     }
 
-    /// No proxy may hold a reference to what it lacks.
+    /// Checks that no proxy's configuration has a dangling reference.
     pub(super) fn check_views(&mut self) {
         let broken: BTreeSet<usize> = self
             .proxies
@@ -67,7 +70,7 @@
             .map(|proxy| proxy.number)
             .collect();
         if !broken.is_empty() {
-            self.checker.violate("no-dangling-reference", format!("proxies {broken:?}"));
+            self.checker.report("no-dangling-reference", format!("proxies {broken:?}"));
         }
     }
 }
--- a/crates/simulator/src/world/injection.rs
+++ b/crates/simulator/src/world/injection.rs
@@ -1,8 +1,8 @@
-//! Faults striking.
+//! Fault injection.
 
 use super::{World, ZONES};
 use crate::control_node::{TornWrite, TICK_MS};
-use crate::faults::{Fault, Kind};
+use crate::faults::{Fault, ProcessKind};
 use crate::packet::Node;
 
 impl World {
@@ -10,19 +10,19 @@
         self.trace(|| format!("fault {fault:?}"));
         match fault {
             Fault::KillOne { kind, restart_ms } => {
-                if let Some(node) = self.pick(kind) {
+                if let Some(node) = self.pick_node(kind) {
                     self.kill(node, restart_ms);
                 }
             }
             Fault::KillAll { kind, restart_ms } => {
-                for node in self.all_of(kind) {
+                for node in self.nodes_of(kind) {
                     let after_ms = self.hosts.random.u64(1..=restart_ms);
                     self.kill(node, after_ms);
                 }
             }
             Fault::LoseDisk => self.lose_disk(),
             Fault::TearWrite { bytes, restart_ms } => {
-                if let Some(Node::Control(id)) = self.pick(Kind::Control) {
+                if let Some(Node::Control(id)) = self.pick_node(ProcessKind::Control) {
                     if let Some(node) = self.controls.get_mut(&id) {
                         node.tear_next_write = Some(TornWrite { bytes, restart_ms });
                     }
@@ -30,14 +30,14 @@
             }
             Fault::Cut { both_ways, heal_ms } => self.cut(both_ways, heal_ms),
             Fault::Freeze { kind, wake_ms } => {
-                if let Some(node) = self.pick(kind) {
+                if let Some(node) = self.pick_node(kind) {
                     let until_ms = self.hosts.now_ms + wake_ms;
                     self.hosts.freeze(node, until_ms);
                 }
             }
-            Fault::Sleep { kind, wake_ms, heal_ms } => self.put_to_sleep(kind, wake_ms, heal_ms),
+            Fault::Sleep { kind, wake_ms, heal_ms } => self.sleep_machine(kind, wake_ms, heal_ms),
             Fault::Isolate { kind, heal_ms } => {
-                if let Some(node) = self.pick(kind) {
+                if let Some(node) = self.pick_node(kind) {
                     let until_ms = self.hosts.now_ms + heal_ms;
                     self.hosts.isolate_from_control(node, until_ms);
                 }
@@ -54,19 +54,20 @@
                     self.tick_ms.insert(id, tick_ms);
                 }
             }
-            Fault::BackendLeaves => self.backend_leaves(),
+            Fault::BackendLeaves => self.start_backend_leaving(),
         }
     }
 
-    /// A leader sleeps together with a relay, which asks it first when both are awake.
-    fn put_to_sleep(&mut self, kind: Kind, wake_ms: u64, heal_ms: u64) {
+    /// Suspends a machine. With a leader, suspends a relay too, which may poll that leader when both
+    /// wake up.
+    fn sleep_machine(&mut self, kind: ProcessKind, wake_ms: u64, heal_ms: u64) {
         let now_ms = self.hosts.now_ms;
-        if let Some(node) = self.pick(kind) {
+        if let Some(node) = self.pick_node(kind) {
             self.hosts.sleep(node, now_ms + wake_ms);
             self.hosts.isolate_from_control(node, now_ms + heal_ms);
         }
-        if kind == Kind::Leader {
-            if let Some(relay) = self.pick(Kind::Relay) {
+        if kind == ProcessKind::Leader {
+            if let Some(relay) = self.pick_node(ProcessKind::Relay) {
                 self.hosts.sleep(relay, now_ms + wake_ms);
             }
         }
@@ -74,11 +75,11 @@
 
     pub(super) fn pause_together(&mut self, wake_ms: u64, heal_ms: u64) {
         let now_ms = self.hosts.now_ms;
-        if let Some(leader) = self.pick(Kind::Leader) {
+        if let Some(leader) = self.pick_node(ProcessKind::Leader) {
             self.hosts.freeze(leader, now_ms + wake_ms);
             self.hosts.isolate_from_control(leader, now_ms + heal_ms);
         }
-        if let Some(relay) = self.pick(Kind::Relay) {
+        if let Some(relay) = self.pick_node(ProcessKind::Relay) {
             self.hosts.freeze(relay, now_ms + wake_ms);
         }
     }
@@ -93,7 +94,7 @@
             }
             for pair in pairs {
                 self.hosts.faults.cut.insert(pair);
-                self.heals.push((at_ms, pair));
+                self.cut_ends.push((at_ms, pair));
             }
         }
     }
--- a/crates/simulator/src/world/processes.rs
+++ b/crates/simulator/src/world/processes.rs
@@ -1,8 +1,8 @@
-//! Starting, stopping and choosing processes.
+//! Starting, stopping and selecting processes.
 
 use super::{World, PROXIES, RELAYS, ZONES};
 use crate::control_node::{ControlNode, TICK_MS};
-use crate::faults::Kind;
+use crate::faults::ProcessKind;
 use crate::packet::{Node, Packet, Timer};
 use crate::relay_node::RelayNode;
 use crate::scenario::BrokenVariant;
@@ -17,12 +17,12 @@
         let node = ControlNode::start(id, store, self.control_weakness(), seed);
         self.controls.insert(id, node);
         let tick_ms = self.tick_ms.get(&id).copied().unwrap_or(TICK_MS);
-        self.hosts.timer(Node::Control(id), tick_ms, Timer::Tick);
+        self.hosts.set_timer(Node::Control(id), tick_ms, Timer::Tick);
     }
 
     pub(super) fn stop_control(&mut self, id: u64) {
         let Some(mut node) = self.controls.remove(&id) else { return };
-        if node.died_for_ms.is_none() {
+        if node.restart_after_ms.is_none() {
             node.store.crash(CrashPoint::Clean, None);
         }
         self.disks.insert(id, node.store);
@@ -95,26 +95,26 @@
         leaders.max_by_key(|node| node.raft.term()).map(|node| node.id)
     }
 
-    pub(super) fn pick(&mut self, kind: Kind) -> Option<Node> {
+    pub(super) fn pick_node(&mut self, kind: ProcessKind) -> Option<Node> {
         match kind {
-            Kind::Leader => self.leader().map(Node::Control),
-            Kind::Control => {
+            ProcessKind::Leader => self.leader().map(Node::Control),
+            ProcessKind::Control => {
                 let ids: Vec<u64> = self.controls.keys().copied().collect();
                 let position = self.hosts.random.usize(..ids.len().max(1));
                 ids.get(position).map(|id| Node::Control(*id))
             }
-            Kind::Relay => Some(Node::Relay(self.hosts.random.usize(..RELAYS))),
-            Kind::Proxy => Some(Node::Proxy(self.hosts.random.usize(..PROXIES))),
+            ProcessKind::Relay => Some(Node::Relay(self.hosts.random.usize(..RELAYS))),
+            ProcessKind::Proxy => Some(Node::Proxy(self.hosts.random.usize(..PROXIES))),
         }
     }
 
-    pub(super) fn all_of(&self, kind: Kind) -> Vec<Node> {
+    pub(super) fn nodes_of(&self, kind: ProcessKind) -> Vec<Node> {
         match kind {
-            Kind::Control | Kind::Leader => {
+            ProcessKind::Control | ProcessKind::Leader => {
                 self.controls.keys().map(|id| Node::Control(*id)).collect()
             }
-            Kind::Relay => (0..RELAYS).map(Node::Relay).collect(),
-            Kind::Proxy => (0..PROXIES).map(Node::Proxy).collect(),
+            ProcessKind::Relay => (0..RELAYS).map(Node::Relay).collect(),
+            ProcessKind::Proxy => (0..PROXIES).map(Node::Proxy).collect(),
         }
     }
 }
--- a/crates/simulator/src/world/repair.rs
+++ b/crates/simulator/src/world/repair.rs
@@ -1,32 +1,32 @@
-//! A lost disk and the steps of its replica's replacement.
+//! Loss of a control replica's disk, and the replacement of the replica.
 
 use super::World;
-use crate::control_node::first_snapshot;
-use crate::faults::Kind;
+use crate::control_node::initial_snapshot;
+use crate::faults::ProcessKind;
 use crate::packet::Node;
 use crate::scenario::BrokenVariant;
 use consensus::Membership;
 use storage::MemoryStore;
 
-/// A replica whose disk was lost, and the steps of its replacement.
+/// Replacement in progress of a replica that lost its disk, by member id.
 pub(super) struct Repair {
     lost: u64,
     replacement: u64,
 }
 
 impl World {
-    /// A replica dies with its disk. Only one at a time: a second loss before the repair is done
-    /// could take committed entries with it, which no replicated system survives.
+    /// Stops a replica and loses its disk. At most one replica is being replaced at a time: a second
+    /// loss before then could lose committed entries, which no replicated system survives.
     pub(super) fn lose_disk(&mut self) {
         if self.repair.is_some() {
             return;
         }
-        let Some(Node::Control(lost)) = self.pick(Kind::Control) else { return };
+        let Some(Node::Control(lost)) = self.pick_node(ProcessKind::Control) else { return };
         self.stop_control(lost);
         self.disks.remove(&lost);
         if self.is_broken(BrokenVariant::SameIdAfterLostDisk) {
             let members = self.controls.keys().copied().chain([lost]);
-            let snapshot = first_snapshot(Membership::of_voters(members));
+            let snapshot = initial_snapshot(Membership::of_voters(members));
             self.disks.insert(lost, MemoryStore::new(snapshot));
             self.start_control(lost);
             if std::mem::take(&mut self.second_loss_pending) {
@@ -36,15 +36,15 @@
         }
         let replacement = self.next_member;
         self.next_member += 1;
-        let empty = first_snapshot(Membership::default());
+        let empty = initial_snapshot(Membership::default());
         self.disks.insert(replacement, MemoryStore::new(empty));
         self.start_control(replacement);
-        self.trace(|| format!("disk of {lost} is lost, {replacement} joins"));
+        self.trace(|| format!("control {lost} lost its disk, {replacement} replaces it"));
         self.repair = Some(Repair { lost, replacement });
-        self.tell_controls();
+        self.update_control_ids();
     }
 
-    pub(super) fn tell_controls(&mut self) {
+    pub(super) fn update_control_ids(&mut self) {
         let ids = self.control_ids();
         for relay in self.relays.iter_mut().flatten() {
             relay.set_controls(ids.clone());
@@ -57,7 +57,8 @@
         }
     }
 
-    /// The next step of a replacement: learner, removal of the lost one, promotion.
+    /// Takes the next step of a replacement: add the new member as a learner, remove the lost one,
+    /// promote the learner.
     pub(super) fn continue_repair(&mut self) {
         let Some(Repair { lost, replacement }) = &self.repair else { return };
         let (lost, replacement) = (*lost, *replacement);
@@ -86,7 +87,7 @@
     }
 
     pub(super) fn finish_repair(&mut self) {
-        self.trace(|| "repair is done".to_owned());
+        self.trace(|| "replacement is complete".to_owned());
         self.repair = None;
         if std::mem::take(&mut self.second_loss_pending) {
             self.lose_disk();
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,12 +1,13 @@
-//! A fixed set of seeds must hold, and every broken variant must be noticed.
+//! Checks that no invariant is violated in a fixed set of seeds, and that every broken variant is
+//! detected.
 
 use simulator::{run_seed, BrokenVariant, RunParameters, Scenario};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
 const SEEDS_PER_SCENARIO: u64 = 60;
-/// Each variant is noticed earlier than this; docs/VERIFICATION.md says how much earlier.
-const MOST_SEEDS_TO_NOTICE: u64 = 200;
+/// Upper bound on the seeds until each variant is detected; docs/VERIFICATION.md gives the margin.
+const MAX_SEEDS_TO_DETECT: u64 = 200;
 
 fn in_parallel(count: u64, run: impl Fn(u64) + Sync) {
     let next = AtomicU64::new(0);
@@ -26,36 +27,36 @@
 
 #[test]
 fn every_invariant_holds_in_every_scenario() {
-    let broken = Mutex::new(Vec::new());
+    let violations = Mutex::new(Vec::new());
     let count = SEEDS_PER_SCENARIO * Scenario::ALL.len() as u64;
     in_parallel(count, |seed| {
         let scenario = Scenario::for_seed(seed);
         let outcome = run_seed(RunParameters { seed, scenario, broken: None, trace: false });
         if let Some(violation) = outcome.violations.first() {
-            broken.lock().unwrap().push((seed, scenario, violation.clone()));
+            violations.lock().unwrap().push((seed, scenario, violation.clone()));
         }
     });
-    let broken = broken.into_inner().unwrap();
-    assert!(broken.is_empty(), "{broken:?}");
+    let violations = violations.into_inner().unwrap();
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
 fn every_broken_variant_is_noticed() {
-    let missed = Mutex::new(Vec::new());
+    let undetected = Mutex::new(Vec::new());
     in_parallel(BrokenVariant::ALL.len() as u64, |number| {
         let variant = BrokenVariant::ALL[number as usize];
         let scenario = variant.scenario();
-        let noticed = (1..=MOST_SEEDS_TO_NOTICE).any(|seed| {
+        let detected = (1..=MAX_SEEDS_TO_DETECT).any(|seed| {
             let broken = Some(variant);
             let outcome = run_seed(RunParameters { seed, scenario, broken, trace: false });
             !outcome.violations.is_empty()
         });
-        if !noticed {
-            missed.lock().unwrap().push(variant);
+        if !detected {
+            undetected.lock().unwrap().push(variant);
         }
     });
-    let missed = missed.into_inner().unwrap();
-    assert!(missed.is_empty(), "{missed:?} went unnoticed");
+    let undetected = undetected.into_inner().unwrap();
+    assert!(undetected.is_empty(), "{undetected:?} were not detected");
 }
 
 #[test]
