--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -107,14 +107,14 @@
         self.newest_revision = self.newest_revision.max(revision);
     }
 
-    /// Returns the newest revision that any replica has applied. A read that begins now must not return
-    /// an older one.
+    /// Returns the newest revision that any replica has applied. A read that begins now must not
+    /// return an older one.
     pub fn newest_revision(&self) -> u64 {
         self.newest_revision
     }
 
-    /// Checks a read that confirmed `revision` to a relay; `min_revision` was the newest when the read
-    /// began.
+    /// Checks a read that confirmed `revision` to a relay; `min_revision` was the newest when the
+    /// read began.
     pub fn on_confirmed_read(&mut self, replica: u64, min_revision: u64, revision: u64) {
         if revision < min_revision {
             let details =
--- a/crates/simulator/src/control_node.rs
+++ b/crates/simulator/src/control_node.rs
@@ -314,8 +314,8 @@
         }
     }
 
-    /// Reports a suspension of the machine to the consensus core, as the production replica does before
-    /// it handles input. Suspensions shorter than an election timeout are ignored.
+    /// Reports a suspension of the machine to the consensus core, as the production replica does
+    /// before it handles input. Suspensions shorter than an election timeout are ignored.
     pub fn on_machine_sleep(&mut self, slept_ms: u64) {
         if slept_ms >= TICK_MS * u64::from(ELECTION_TICKS) {
             self.raft.note_sleep();
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -119,8 +119,9 @@
     }
 }
 
-/// Schedules suspensions of machines. Up to three proxies, which may have received newer generations
-/// meanwhile, are killed around the time of the wake-up, so that they reconnect to stale processes.
+/// Schedules suspensions of machines. Up to three proxies, which may have received newer
+/// generations meanwhile, are killed around the time of the wake-up, so that they reconnect to
+/// stale processes.
 fn plan_sleep(faults_end_ms: u64, random: &mut fastrand::Rng, faults: &mut Vec<(u64, Fault)>) {
     let mut at_ms = FIRST_FAULT_MS;
     while at_ms < faults_end_ms {
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Returns how long the machine was suspended since the last call, if the process can detect it.
+    /// Returns how long the machine was suspended since the last call, if the process can detect
+    /// it.
     pub fn take_unnoticed_sleep(&mut self, node: Node) -> Option<u64> {
         let host = self.hosts.get_mut(&node)?;
         let slept_ms = std::mem::take(&mut host.unnoticed_sleep_ms);
@@ -218,8 +219,8 @@
         self.hosts.get(&node).map_or(0, |host| host.zone)
     }
 
-    /// Advances the time to the next event and returns it, or advances to `until_ms` if there is none
-    /// before. Events of frozen processes are deferred until they resume.
+    /// Advances the time to the next event and returns it, or advances to `until_ms` if there is
+    /// none before. Events of frozen processes are deferred until they resume.
     pub fn next(&mut self, until_ms: u64) -> Option<(Node, Event)> {
         while let Some(scheduled) = self.queue.peek() {
             if scheduled.at_ms > until_ms {
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -231,8 +231,8 @@
             shared.rollout.get_or_insert((*generation, 1));
         }
         Err(Refusal::NoSuchRollout { .. }) => {
-            // Another operator advanced or withdrew it: tries the next stages, up to the third, then
-            // forgets the rollout.
+            // Another operator advanced or withdrew it: tries the next stages, up to the third,
+            // then forgets the rollout.
             shared.rollout = match shared.rollout {
                 Some((generation, stage)) if stage < 3 => Some((generation, stage + 1)),
                 _ => None,
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -77,7 +77,8 @@
             sessions: BTreeMap::new(),
             held_polls: Vec::new(),
             stays_with_dead_leader,
-            // Answers to calls of an earlier process of this relay must not match calls of this one.
+            // Answers to calls of an earlier process of this relay must not match calls of this
+            // one.
             next_call: hosts.now_ms << 20,
         }
     }
--- a/crates/simulator/src/world/injection.rs
+++ b/crates/simulator/src/world/injection.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Suspends a machine. With a leader, suspends a relay too, which may poll that leader when both
-    /// wake up.
+    /// Suspends a machine. With a leader, suspends a relay too, which may poll that leader when
+    /// both wake up.
     fn sleep_machine(&mut self, kind: ProcessKind, wake_ms: u64, heal_ms: u64) {
         let now_ms = self.hosts.now_ms;
         if let Some(node) = self.pick_node(kind) {
--- a/crates/simulator/src/world/repair.rs
+++ b/crates/simulator/src/world/repair.rs
@@ -15,8 +15,8 @@
 }
 
 impl World {
-    /// Stops a replica and loses its disk. At most one replica is being replaced at a time: a second
-    /// loss before then could lose committed entries, which no replicated system survives.
+    /// Stops a replica and loses its disk. At most one replica is being replaced at a time: a
+    /// second loss before then could lose committed entries, which no replicated system survives.
     pub(super) fn lose_disk(&mut self) {
         if self.repair.is_some() {
             return;
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, each as a check over a record.
+//! Checks of the fleet's guarantees against the record of a soak test.
 
 use crate::{
     Bounds, Call, CallOutcome, ConfigSubmission, Fault, FaultKind, Millis, Record, RepeatBounds,
@@ -7,48 +7,49 @@
 use std::fmt;
 
 const NOT_FOUND: u16 = 404;
-/// Statuses that promise that a call did not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Part of the calls after the last fault that must be served.
-const SERVED_WHEN_CALM: f64 = 0.95;
+/// Statuses that guarantee that the call was not executed and never will be.
+const NOT_EXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Minimum share of the calls after the last fault that must be served.
+const MIN_SERVED_RATIO: f64 = 0.95;
 
-/// Most upstreams that one poison request may end: two make it known, and four run it at most until
-/// that is told, also while coordinators are killed.
-const MOST_CRASHES: usize = 6;
+/// Limit of upstreams that one poison request may crash: two until it is identified, and at most
+/// four more that run it until the quarantine has propagated, even while coordinators are killed.
+const MAX_CRASHES_PER_REQUEST: usize = 6;
 
-/// What must hold.
+/// Guarantee of the fleet to its callers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guarantee {
-    /// A success carries the whole answer to its own call.
+    /// A successful response carries the complete answer to its own call.
     OwnAnswer,
-    /// A call that may not be repeated runs at most once.
+    /// A call that is not repeatable runs at most once.
     AtMostOnce,
-    /// A call that was refused did not run.
+    /// A call that is not repeatable did not run if it was refused with a status that guarantees
+    /// so.
     TrueRefusal,
-    /// A route of every version is never denied.
+    /// A route that exists in all versions is never answered with 404.
     NotDenied,
-    /// A version is in force in time.
+    /// An acknowledged version is in force in time.
     InForce,
-    /// A planned stop cuts no call.
+    /// A planned stop interrupts no call.
     StopCutsNothing,
-    /// An upstream that leaves gets no new work.
+    /// An upstream that is leaving gets no new calls after the drain limit.
     Drained,
-    /// What was acknowledged is not lost.
+    /// An acknowledged configuration version is not lost.
     Kept,
     /// Calls are served again after the last fault.
     Recovered,
-    /// A request that crashes upstreams is kept from them.
+    /// A request that crashes upstreams is quarantined before it crashes too many.
     PoisonContained,
-    /// Calls are sent again no more often than the fleet's bound allows.
+    /// Calls are repeated no more often than the fleet's limit allows.
     RepeatsBounded,
 }
 
-/// A promise that did not hold.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated guarantee.
     pub guarantee: Guarantee,
-    /// What was seen.
+    /// What was observed.
     pub details: String,
 }
 
@@ -58,23 +59,23 @@
     }
 }
 
-/// All breaches of a record.
+/// Returns all violations in a record.
 pub fn check_record(record: &Record, bounds: &Bounds) -> Vec<Violation> {
-    let mut breaches = Vec::new();
-    let mut note = |promise, what| breaches.push(Violation { guarantee: promise, details: what });
+    let mut violations = Vec::new();
+    let mut report = |guarantee, details| violations.push(Violation { guarantee, details });
     let runs = runs_by_call(record);
     for call in &record.calls {
         let ran = runs.get(&call.id).copied().unwrap_or(0);
-        check_call(call, ran, &mut note);
-        check_version(call, record, bounds, &mut note);
-        check_cut(call, ran, record, bounds, &mut note);
+        check_call(call, ran, &mut report);
+        check_version(call, record, bounds, &mut report);
+        check_planned_stops(call, ran, record, bounds, &mut report);
     }
-    check_drains(record, bounds, &mut note);
-    check_read_back(record, &mut note);
-    check_recovery(record, bounds, &mut note);
-    check_poison(record, &mut note);
-    check_repeats(record, bounds, &mut note);
-    breaches
+    check_drains(record, bounds, &mut report);
+    check_read_back(record, &mut report);
+    check_recovery(record, bounds, &mut report);
+    check_poison(record, &mut report);
+    check_repeats(record, bounds, &mut report);
+    violations
 }
 
 fn runs_by_call(record: &Record) -> BTreeMap<u64, u32> {
@@ -85,28 +86,34 @@
     runs
 }
 
-fn check_call(call: &Call, ran: u32, note: &mut impl FnMut(Guarantee, String)) {
+fn check_call(call: &Call, ran: u32, report: &mut impl FnMut(Guarantee, String)) {
     if !call.repeatable && ran > 1 {
-        note(Guarantee::AtMostOnce, format!("call {} ran {ran} times", call.id));
+        report(Guarantee::AtMostOnce, format!("call {} ran {ran} times", call.id));
     }
     let CallOutcome::Answered { status, body_matches } = call.outcome else {
         return;
     };
     if status == 200 && !body_matches {
-        note(Guarantee::OwnAnswer, format!("call {} got another answer", call.id));
+        report(Guarantee::OwnAnswer, format!("call {} got a wrong or incomplete answer", call.id));
     }
-    if !call.repeatable && PROMISES.contains(&status) && ran > 0 {
-        note(Guarantee::TrueRefusal, format!("call {} got {status} and ran", call.id));
+    if !call.repeatable && NOT_EXECUTED_STATUSES.contains(&status) && ran > 0 {
+        report(Guarantee::TrueRefusal, format!("call {} got {status} and ran", call.id));
     }
     if call.version.is_none() && status == NOT_FOUND {
         let Call { id, machine, sent, .. } = call;
-        note(Guarantee::NotDenied, format!("call {id} at {sent} ms on machine {machine}"));
+        report(Guarantee::NotDenied, format!("call {id} at {sent} ms on machine {machine}"));
     }
 }
 
-/// Whether something that may delay a version at a machine disturbed it, or its coordinators,
-/// shortly before a moment.
-fn disturbed(record: &Record, bounds: &Bounds, machine: u8, from: Millis, to: Millis) -> bool {
+/// Whether a fault that may delay a version on a machine affected it, or the coordinators, between
+/// `from` and `to` or within the settle time before.
+fn affected_by_fault(
+    record: &Record,
+    bounds: &Bounds,
+    machine: u8,
+    from: Millis,
+    to: Millis,
+) -> bool {
     let near = |fault: &&Fault| fault.from <= to && from <= fault.to + bounds.settle;
     let concerns = |fault: &&Fault| fault.machine == machine || fault.coordinators;
     record
@@ -120,25 +127,28 @@
     call: &Call,
     record: &Record,
     bounds: &Bounds,
-    note: &mut impl FnMut(Guarantee, String),
+    report: &mut impl FnMut(Guarantee, String),
 ) {
     let (Some(version), CallOutcome::Answered { status, .. }) = (call.version, call.outcome) else {
         return;
     };
-    let due = |order: &ConfigSubmission| {
-        order.acknowledged.is_some_and(|at| at + bounds.apply < call.sent)
+    let due = |submission: &ConfigSubmission| {
+        submission.acknowledged.is_some_and(|at| at + bounds.apply < call.sent)
     };
-    let newest_due =
-        record.submissions.iter().filter(|order| due(order)).map(|order| order.version);
+    let newest_due = record
+        .submissions
+        .iter()
+        .filter(|submission| due(submission))
+        .map(|submission| submission.version);
     let Some(newest_due) = newest_due.max() else {
         return;
     };
-    // A version that was sent later may be in force already.
-    let only_this_far = record.submissions.iter().all(|order| order.version <= newest_due);
-    let old = version < newest_due && status == 200;
-    let missing = version == newest_due && status == NOT_FOUND && only_this_far;
-    if (old || missing)
-        && !disturbed(
+    // A version that was submitted later may be in force already.
+    let is_newest = record.submissions.iter().all(|submission| submission.version <= newest_due);
+    let outdated = version < newest_due && status == 200;
+    let missing = version == newest_due && status == NOT_FOUND && is_newest;
+    if (outdated || missing)
+        && !affected_by_fault(
             record,
             bounds,
             call.machine,
@@ -147,23 +157,23 @@
         )
     {
         let Call { id, machine, sent, .. } = call;
-        let what = format!(
+        let details = format!(
             "call {id} at {sent} ms on machine {machine} used version {version}, got {status}; \
              version {newest_due} was due"
         );
-        note(Guarantee::InForce, what);
+        report(Guarantee::InForce, details);
     }
 }
 
-/// A call that was cut although nothing but planned stops disturbed its time.
-fn check_cut(
+/// Reports a call that was interrupted although there were only planned stops at that time.
+fn check_planned_stops(
     call: &Call,
     ran: u32,
     record: &Record,
     bounds: &Bounds,
-    note: &mut impl FnMut(Guarantee, String),
+    report: &mut impl FnMut(Guarantee, String),
 ) {
-    // A call that crossed a close was not read; one that ran was.
+    // A call that was in flight when an idle connection closed was not read, unless it ran.
     let cut =
         call.outcome == CallOutcome::Cut || (call.outcome == CallOutcome::ClosedBetween && ran > 0);
     if !cut {
@@ -177,14 +187,14 @@
     };
     if !record.faults.iter().any(|fault| unplanned(&fault)) {
         let Call { id, machine, sent, ended, .. } = call;
-        note(
+        report(
             Guarantee::StopCutsNothing,
             format!("call {id} on machine {machine}, {sent} to {ended} ms"),
         );
     }
 }
 
-fn check_drains(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
+fn check_drains(record: &Record, bounds: &Bounds, report: &mut impl FnMut(Guarantee, String)) {
     let drains = record.faults.iter().filter(|fault| fault.kind == FaultKind::Drain);
     for drain in drains {
         let late = record.runs.iter().find(|run| {
@@ -194,49 +204,57 @@
         if let Some(run) = late {
             let (call, machine) = (run.call, run.machine);
             let after = run.at - drain.from;
-            let what =
+            let details =
                 format!("call {call} on machine {machine} {after} ms after the acknowledgement");
-            note(Guarantee::Drained, what);
+            report(Guarantee::Drained, details);
         }
     }
 }
 
-fn check_read_back(record: &Record, note: &mut impl FnMut(Guarantee, String)) {
-    let acknowledged = record.submissions.iter().filter(|order| order.acknowledged.is_some());
-    let newest = acknowledged.map(|order| order.version).max();
+fn check_read_back(record: &Record, report: &mut impl FnMut(Guarantee, String)) {
+    let acknowledged =
+        record.submissions.iter().filter(|submission| submission.acknowledged.is_some());
+    let newest = acknowledged.map(|submission| submission.version).max();
     if record.read_back < newest {
-        note(Guarantee::Kept, format!("read back {:?}, acknowledged {newest:?}", record.read_back));
+        report(
+            Guarantee::Kept,
+            format!("read back {:?}, acknowledged {newest:?}", record.read_back),
+        );
     }
 }
 
-/// Upstreams that one poison request ends: as many as are needed to know it, and those that ran it
-/// before word of that was everywhere; as many again after each clearing meanwhile.
-fn check_poison(record: &Record, note: &mut impl FnMut(Guarantee, String)) {
-    let mut ended: BTreeMap<u64, Vec<Millis>> = BTreeMap::new();
+/// Checks the number of upstreams that each poison request crashed: those needed to identify it,
+/// and those that ran it before the quarantine had propagated. Each time that the quarantine is
+/// cleared between its crashes allows the same number again.
+fn check_poison(record: &Record, report: &mut impl FnMut(Guarantee, String)) {
+    let mut crash_times: BTreeMap<u64, Vec<Millis>> = BTreeMap::new();
     for crash in &record.crashes {
-        ended.entry(crash.poison).or_default().push(crash.at);
+        crash_times.entry(crash.poison).or_default().push(crash.at);
     }
-    for (poison, at) in ended {
-        let (first, last) = (at.iter().min(), at.iter().max());
-        let meanwhile = |at: &&Millis| first <= Some(*at) && Some(*at) <= last;
-        let quarantine_clears = record.quarantine_clears.iter().filter(meanwhile).count();
-        if at.len() > MOST_CRASHES * (1 + quarantine_clears) {
-            let count = at.len();
-            note(Guarantee::PoisonContained, format!("request {poison} ended {count} upstreams"));
+    for (poison, times) in crash_times {
+        let (first, last) = (times.iter().min(), times.iter().max());
+        let between = |at: &&Millis| first <= Some(*at) && Some(*at) <= last;
+        let clears = record.quarantine_clears.iter().filter(between).count();
+        if times.len() > MAX_CRASHES_PER_REQUEST * (1 + clears) {
+            let count = times.len();
+            report(
+                Guarantee::PoisonContained,
+                format!("request {poison} crashed {count} upstreams"),
+            );
         }
     }
 }
 
-/// Runs past the first of their call, in any window, against the calls of that window, the one before,
-/// or the one half a window before.
-fn check_repeats(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
+/// Checks the number of repeats in any window against the number of calls in that window, the one
+/// before, or the one half a window before, whichever is largest.
+fn check_repeats(record: &Record, bounds: &Bounds, report: &mut impl FnMut(Guarantee, String)) {
     let RepeatBounds { ratio, slack, window } = bounds.repeats;
     let mut sent: Vec<Millis> = record.calls.iter().map(|call| call.sent).collect();
     sent.sort_unstable();
     let repeats = repeated_runs(record);
     let count = |times: &[Millis], from: Millis| {
-        let place = |at: Millis| times.partition_point(|time| *time < at);
-        place(from + window) - place(from)
+        let index_of = |at: Millis| times.partition_point(|time| *time < at);
+        index_of(from + window) - index_of(from)
     };
     let excess = |from: Millis| {
         let starts = [from, from.saturating_sub(window / 2), from.saturating_sub(window)];
@@ -247,12 +265,12 @@
     };
     let worst = repeats.iter().map(|from| excess(*from)).max_by(|a, b| a.0.total_cmp(&b.0));
     if let Some((_, from, found, allowed)) = worst.filter(|(excess, ..)| *excess > 0.0) {
-        let what = format!("{found} repeats from {from} ms on, {allowed:.0} allowed");
-        note(Guarantee::RepeatsBounded, what);
+        let details = format!("{found} repeats from {from} ms on, {allowed:.0} allowed");
+        report(Guarantee::RepeatsBounded, details);
     }
 }
 
-/// When runs past the first of their call began.
+/// Returns the start times of all runs but the first of each call.
 fn repeated_runs(record: &Record) -> Vec<Millis> {
     let mut runs: Vec<(Millis, u64)> = record.runs.iter().map(|run| (run.at, run.call)).collect();
     runs.sort_unstable();
@@ -261,13 +279,13 @@
     runs.into_iter().map(|(at, _)| at).collect()
 }
 
-fn check_recovery(record: &Record, bounds: &Bounds, note: &mut impl FnMut(Guarantee, String)) {
-    let calm =
+fn check_recovery(record: &Record, bounds: &Bounds, report: &mut impl FnMut(Guarantee, String)) {
+    let after_faults =
         |call: &&Call| call.sent > record.faults_end + bounds.settle && call.version.is_none();
-    let calls: Vec<&Call> = record.calls.iter().filter(calm).collect();
+    let calls: Vec<&Call> = record.calls.iter().filter(after_faults).collect();
     let served = |call: &&&Call| matches!(call.outcome, CallOutcome::Answered { status: 200, .. });
     let served = calls.iter().filter(served).count();
-    if calls.is_empty() || (served as f64) < calls.len() as f64 * SERVED_WHEN_CALM {
-        note(Guarantee::Recovered, format!("{served} of {} calls served", calls.len()));
+    if calls.is_empty() || (served as f64) < calls.len() as f64 * MIN_SERVED_RATIO {
+        report(Guarantee::Recovered, format!("{served} of {} calls served", calls.len()));
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,8 @@
-//! What was seen of a fleet under faults, and whether its promises held.
+//! Checks whether a fleet kept its guarantees under faults in a soak test.
 //!
-//! Pure: the lab records events of real processes, as callers, upstreams and the operator saw them
-//! on their sockets; [`check_record`] reads them afterwards. Times are milliseconds since the start.
+//! This crate does no I/O. The lab records events of real processes as callers, upstreams and the
+//! operator observe them on their sockets; [`check_record`] evaluates the record afterwards. Times
+//! are milliseconds since the start.
 #![forbid(unsafe_code)]
 
 mod checks;
@@ -12,5 +13,5 @@
     Bounds, Call, CallOutcome, ConfigSubmission, Crash, Fault, FaultKind, Record, RepeatBounds, Run,
 };
 
-/// Milliseconds since the start of a soak.
+/// Milliseconds since the start of a soak test.
 pub type Millis = u64;
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,147 +1,149 @@
-//! Events of one soak.
+//! Recorded events of one soak test.
 
 use crate::Millis;
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// An answer came; `body_matches` if a success carried the answer to this very call.
+    /// A response arrived.
     Answered {
-        /// Its status.
+        /// HTTP status.
         status: u16,
-        /// Whether the body is the upstream's whole answer to this call.
+        /// Whether the body is the upstream's complete answer to this very call. Only evaluated for
+        /// status 200.
         body_matches: bool,
     },
     /// The connection ended after the call was sent.
     Cut,
-    /// The connection, which had served calls before, ended before any of the answer: the call may
-    /// have crossed the close, and was not read then.
+    /// A reused connection ended before any of the response arrived. The server may have closed it
+    /// while the call was in flight, in which case the call was not read.
     ClosedBetween,
-    /// There was no connection.
+    /// No connection could be established.
     NotConnected,
 }
 
-/// One call of a caller.
+/// A call of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id.
+    /// Id of the call.
     pub id: u64,
-    /// The sidecar it was sent to.
+    /// Machine of the sidecar that the call was sent to.
     pub machine: u8,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// The version whose route it used; `None` for the route of all versions.
+    /// Configuration version whose route the call used; `None` for the route that exists in all
+    /// versions.
     pub version: Option<u64>,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent: Millis,
-    /// When it ended.
+    /// When the call ended.
     pub ended: Millis,
-    /// How.
+    /// How the call ended.
     pub outcome: CallOutcome,
 }
 
-/// A run that an upstream began.
+/// The start of an execution of a call by an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     /// Id of the call.
     pub call: u64,
     /// The machine of the upstream.
     pub machine: u8,
-    /// When.
+    /// When the execution started.
     pub at: Millis,
 }
 
-/// An upstream that ended because of a request.
+/// A crash of an upstream caused by a poison request.
 #[derive(Clone, Copy, Debug)]
 pub struct Crash {
-    /// Which request.
+    /// Id of the poison request.
     pub poison: u64,
     /// The machine of the upstream.
     pub machine: u8,
-    /// When.
+    /// When the upstream crashed.
     pub at: Millis,
 }
 
-/// A configuration that was sent by the operator.
+/// A configuration version that the operator submitted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigSubmission {
-    /// Its version; the routes of the version before are dropped with it.
+    /// The version. It drops the routes of the previous one.
     pub version: u64,
     /// When it was acknowledged, if it was.
     pub acknowledged: Option<Millis>,
 }
 
-/// What was done to a machine.
+/// Kind of fault injected on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Killed, and started again.
+    /// A process is killed and restarted.
     Kill,
-    /// Frozen, and woken.
+    /// A process is paused and resumed.
     Freeze,
-    /// A coordinator killed; it lost its disk.
+    /// A coordinator is killed and loses its disk.
     Wipe,
-    /// Asked to stop, and started again.
+    /// A process is stopped gracefully and restarted.
     Stop,
-    /// The upstream said that it leaves, which was acknowledged at the end of the span.
+    /// An upstream announced that it is leaving. The fault starts when that was acknowledged.
     Drain,
 }
 
-/// One fault.
+/// An injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// What.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Where.
+    /// Affected machine.
     pub machine: u8,
-    /// Whether it struck coordinators: they delay versions, and carry no call.
+    /// Whether it affected a coordinator: that may delay versions but interrupts no call.
     pub coordinators: bool,
-    /// From when.
+    /// Start of the fault.
     pub from: Millis,
-    /// Until when.
+    /// End of the fault.
     pub to: Millis,
 }
 
-/// How often calls may be sent again.
+/// Limit on repeats of calls per window.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatBounds {
-    /// Per call.
+    /// Repeats allowed per call.
     pub ratio: f64,
-    /// Besides.
+    /// Repeats allowed in addition.
     pub slack: f64,
     /// Length of the window, milliseconds.
     pub window: Millis,
 }
 
-/// Times that the promises allow, milliseconds.
+/// Limits that the guarantees allow; durations in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// From an acknowledgement until the version is in force.
+    /// From the acknowledgement of a version until it is in force.
     pub apply: Millis,
-    /// From the acknowledgement of an upstream's leaving until its last new work.
+    /// From the acknowledgement that an upstream is leaving until its last new call.
     pub drain: Millis,
-    /// After a fault, until a machine is held to its promises again.
+    /// Time after a fault until guarantees on the affected machine are checked again.
     pub settle: Millis,
-    /// The fleet's bound on repeats.
+    /// Limit on repeats of calls across the fleet.
     pub repeats: RepeatBounds,
 }
 
-/// Everything that was seen.
+/// Everything that was observed in a soak test.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// Calls.
+    /// Calls of all callers.
     pub calls: Vec<Call>,
-    /// Runs at upstreams.
+    /// Executions of calls by upstreams.
     pub runs: Vec<Run>,
-    /// Upstreams that ended because of a request.
+    /// Crashes of upstreams caused by poison requests.
     pub crashes: Vec<Crash>,
-    /// When an operator cleared all that was in quarantine.
+    /// When an operator cleared the quarantine.
     pub quarantine_clears: Vec<Millis>,
-    /// Orders, in the order of their versions.
+    /// Submitted configurations, by ascending version.
     pub submissions: Vec<ConfigSubmission>,
-    /// Faults.
+    /// Injected faults.
     pub faults: Vec<Fault>,
-    /// When the last fault was over.
+    /// When the last fault ended.
     pub faults_end: Millis,
-    /// The version read back at the end.
+    /// Configuration version read back at the end.
     pub read_back: Option<u64>,
 }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Each check finds the breach it is for, and nothing in a record without any.
+//! Tests that each check reports its violation, and that a record without violations passes.
 
 use expect_test::expect;
 use soak::{
@@ -15,7 +15,7 @@
     Call { id, machine: 11, repeatable: false, version: None, sent, ended: sent + 20, outcome }
 }
 
-/// Nine seconds without a breach: a stop, a drain, two versions.
+/// Returns a record of nine seconds without violations, with a stop, a drain and two versions.
 fn record() -> Record {
     Record {
         calls: (0..90).map(|id| call(id, id * 100, OK)).collect(),
@@ -48,12 +48,12 @@
 }
 
 fn versioned(id: u64, sent: u64, version: u64, status: u16) -> Call {
-    let end = CallOutcome::Answered { status, body_matches: true };
-    Call { version: Some(version), repeatable: true, ..call(id, sent, end) }
+    let outcome = CallOutcome::Answered { status, body_matches: true };
+    Call { version: Some(version), repeatable: true, ..call(id, sent, outcome) }
 }
 
-/// Calls of half a second are sent again, once each.
-fn send_again(record: &mut Record, count: u64) {
+/// Repeats `count` calls once each, all of them within half a second.
+fn repeat_calls(record: &mut Record, count: u64) {
     for id in 30..30 + count {
         record.calls[id as usize].repeatable = true;
         record.runs.push(Run { call: id, machine: 12, at: 3_500 + id });
@@ -67,24 +67,24 @@
 
 #[test]
 fn each_breach_is_found() {
-    type Spoil = fn(&mut Record);
-    let rows: Vec<(&str, Spoil)> = vec![
-        ("another's answer", |r| {
+    type Mutation = fn(&mut Record);
+    let rows: Vec<(&str, Mutation)> = vec![
+        ("wrong answer", |r| {
             r.calls[3].outcome = CallOutcome::Answered { status: 200, body_matches: false }
         }),
-        ("cut between, and run", |r| r.calls[3].outcome = CallOutcome::ClosedBetween),
+        ("closed between calls, but ran", |r| r.calls[3].outcome = CallOutcome::ClosedBetween),
         ("a seventh crash", |r| r.crashes.push(Crash { poison: 7, machine: 13, at: 400 })),
-        ("run twice", |r| r.runs.push(Run { call: 3, machine: 13, at: 400 })),
-        ("refused and run", |r| {
+        ("executed twice", |r| r.runs.push(Run { call: 3, machine: 13, at: 400 })),
+        ("refused but executed", |r| {
             r.calls[3].outcome = CallOutcome::Answered { status: 503, body_matches: true }
         }),
         ("denied", |r| {
             r.calls[3].outcome = CallOutcome::Answered { status: 404, body_matches: true }
         }),
-        ("the old version serves", |r| r.calls.push(versioned(900, 8_000, 1, 200))),
-        ("the new version is missing", |r| r.calls.push(versioned(900, 8_000, 2, 404))),
+        ("outdated version in use", |r| r.calls.push(versioned(900, 8_000, 1, 200))),
+        ("new version missing", |r| r.calls.push(versioned(900, 8_000, 2, 404))),
         ("cut by a planned stop", |r| r.calls[12].outcome = CallOutcome::Cut),
-        ("cut beside a coordinator's fault", |r| {
+        ("cut during a coordinator's fault", |r| {
             r.faults.push(Fault {
                 kind: FaultKind::Kill,
                 machine: 1,
@@ -94,7 +94,7 @@
             });
             r.calls[12].outcome = CallOutcome::Cut;
         }),
-        ("the old version beside another sidecar's fault", |r| {
+        ("outdated version during another sidecar's fault", |r| {
             r.faults.push(Fault {
                 kind: FaultKind::Kill,
                 machine: 13,
@@ -104,47 +104,47 @@
             });
             r.calls.push(versioned(900, 8_000, 1, 200));
         }),
-        ("work after the drain", |r| r.runs.push(Run { call: 900, machine: 13, at: 3_600 })),
+        ("call after the drain limit", |r| r.runs.push(Run { call: 900, machine: 13, at: 3_600 })),
         ("an older version read back", |r| r.read_back = Some(1)),
-        ("none read back", |r| r.read_back = None),
-        ("not served when calm", |r| {
+        ("no version read back", |r| r.read_back = None),
+        ("not served after the faults", |r| {
             r.calls.iter_mut().skip(80).for_each(|c| c.outcome = CallOutcome::NotConnected);
         }),
-        ("ten sent again", |r| send_again(r, 10)),
+        ("ten repeats", |r| repeat_calls(r, 10)),
     ];
     let mut text = String::new();
-    for (name, spoil) in rows {
+    for (name, mutate) in rows {
         let mut record = record();
-        spoil(&mut record);
-        for breach in check_record(&record, &BOUNDS) {
-            writeln!(text, "{name}: {breach}").expect("text");
+        mutate(&mut record);
+        for violation in check_record(&record, &BOUNDS) {
+            writeln!(text, "{name}: {violation}").expect("writing to a string cannot fail");
         }
     }
     expect![[r#"
-        another's answer: OwnAnswer: call 3 got another answer
-        cut between, and run: StopCutsNothing: call 3 on machine 11, 300 to 320 ms
-        a seventh crash: PoisonContained: request 7 ended 7 upstreams
-        run twice: AtMostOnce: call 3 ran 2 times
-        refused and run: TrueRefusal: call 3 got 503 and ran
+        wrong answer: OwnAnswer: call 3 got a wrong or incomplete answer
+        closed between calls, but ran: StopCutsNothing: call 3 on machine 11, 300 to 320 ms
+        a seventh crash: PoisonContained: request 7 crashed 7 upstreams
+        executed twice: AtMostOnce: call 3 ran 2 times
+        refused but executed: TrueRefusal: call 3 got 503 and ran
         denied: NotDenied: call 3 at 300 ms on machine 11
-        the old version serves: InForce: call 900 at 8000 ms on machine 11 used version 1, got 200; version 2 was due
-        the new version is missing: InForce: call 900 at 8000 ms on machine 11 used version 2, got 404; version 2 was due
+        outdated version in use: InForce: call 900 at 8000 ms on machine 11 used version 1, got 200; version 2 was due
+        new version missing: InForce: call 900 at 8000 ms on machine 11 used version 2, got 404; version 2 was due
         cut by a planned stop: StopCutsNothing: call 12 on machine 11, 1200 to 1220 ms
-        cut beside a coordinator's fault: StopCutsNothing: call 12 on machine 11, 1200 to 1220 ms
-        the old version beside another sidecar's fault: InForce: call 900 at 8000 ms on machine 11 used version 1, got 200; version 2 was due
-        work after the drain: Drained: call 900 on machine 13 1100 ms after the acknowledgement
+        cut during a coordinator's fault: StopCutsNothing: call 12 on machine 11, 1200 to 1220 ms
+        outdated version during another sidecar's fault: InForce: call 900 at 8000 ms on machine 11 used version 1, got 200; version 2 was due
+        call after the drain limit: Drained: call 900 on machine 13 1100 ms after the acknowledgement
         an older version read back: Kept: read back Some(1), acknowledged Some(2)
-        none read back: Kept: read back None, acknowledged Some(2)
-        not served when calm: Recovered: 0 of 9 calls served
-        ten sent again: RepeatsBounded: 10 repeats from 3530 ms on, 9 allowed
+        no version read back: Kept: read back None, acknowledged Some(2)
+        not served after the faults: Recovered: 0 of 9 calls served
+        ten repeats: RepeatsBounded: 10 repeats from 3530 ms on, 9 allowed
     "#]].assert_eq(&text);
 }
 
 #[test]
 fn what_may_happen_is_no_breach() {
-    type Allow = fn(&mut Record);
-    let rows: Vec<(&str, Allow)> = vec![
-        ("a kill cuts", |r| {
+    type Mutation = fn(&mut Record);
+    let rows: Vec<(&str, Mutation)> = vec![
+        ("cut by a kill", |r| {
             r.faults.push(Fault {
                 kind: FaultKind::Kill,
                 machine: 12,
@@ -154,9 +154,11 @@
             });
             r.calls[12].outcome = CallOutcome::Cut;
         }),
-        ("nine sent again", |r| send_again(r, 9)),
-        ("the old version within its time", |r| r.calls.push(versioned(900, 2_400, 1, 200))),
-        ("the old version after a freeze", |r| {
+        ("nine repeats", |r| repeat_calls(r, 9)),
+        ("outdated version within the apply limit", |r| {
+            r.calls.push(versioned(900, 2_400, 1, 200))
+        }),
+        ("outdated version after a freeze", |r| {
             r.faults.push(Fault {
                 kind: FaultKind::Freeze,
                 machine: 1,
@@ -166,26 +168,26 @@
             });
             r.calls.push(versioned(900, 2_600, 1, 200));
         }),
-        ("a version without a clear answer is in force", |r| {
+        ("an unacknowledged version is in force", |r| {
             r.submissions.push(ConfigSubmission { version: 3, acknowledged: None });
             r.calls.push(versioned(900, 8_000, 2, 404));
             r.read_back = Some(3);
         }),
-        ("refused without a run", |r| {
+        ("refused and not executed", |r| {
             r.calls[3].outcome = CallOutcome::Answered { status: 503, body_matches: true };
             r.runs.retain(|run| run.call != 3);
         }),
     ];
-    for (name, allow) in rows {
+    for (name, mutate) in rows {
         let mut record = record();
-        allow(&mut record);
+        mutate(&mut record);
         assert_eq!(check_record(&record, &BOUNDS), [], "{name}");
     }
 }
 
 #[test]
 fn a_clearing_allows_as_many_ends_again_of_requests_that_it_may_concern() {
-    let with = |crashes: u64, quarantine_clears: &[u64]| {
+    let violations = |crashes: u64, quarantine_clears: &[u64]| {
         let crashes = (0..crashes).map(|at| Crash { poison: 7, machine: 12, at }).collect();
         check_record(
             &Record { crashes, quarantine_clears: quarantine_clears.to_vec(), ..record() },
@@ -193,6 +195,6 @@
         )
         .len()
     };
-    assert_eq!((with(12, &[3]), with(13, &[3])), (0, 1));
-    assert_eq!(with(7, &[50]), 1, "it came after the last of them");
+    assert_eq!((violations(12, &[3]), violations(13, &[3])), (0, 1));
+    assert_eq!(violations(7, &[50]), 1, "the quarantine was cleared after the last crash");
 }
