--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -52,8 +52,8 @@
     random: &mut fastrand::Rng,
 ) -> Vec<(u64, Fault)> {
     let mut faults = Vec::new();
-    for family in scenario.components(random) {
-        plan_scenario(family, faults_end_ms, random, &mut faults);
+    for component in scenario.components(random) {
+        plan_scenario(component, faults_end_ms, random, &mut faults);
     }
     for _ in 0..3 {
         faults.push((random.u64(1_000..faults_end_ms), Fault::BackendLeaves));
@@ -63,12 +63,12 @@
 }
 
 fn plan_scenario(
-    family: Scenario,
+    scenario: Scenario,
     faults_end_ms: u64,
     random: &mut fastrand::Rng,
     faults: &mut Vec<(u64, Fault)>,
 ) {
-    match family {
+    match scenario {
         Scenario::Calm | Scenario::Two => {}
         Scenario::Skew => faults.push((0, Fault::Skew)),
         Scenario::Delay => {
@@ -86,17 +86,17 @@
         _ => {
             let mut at_ms = FIRST_FAULT_MS;
             while at_ms < faults_end_ms {
-                faults.push((at_ms, random_fault(family, random)));
+                faults.push((at_ms, random_fault(scenario, random)));
                 at_ms += random.u64(200..1_500);
             }
         }
     }
 }
 
-fn random_fault(family: Scenario, random: &mut fastrand::Rng) -> Fault {
+fn random_fault(scenario: Scenario, random: &mut fastrand::Rng) -> Fault {
     let kinds = [ProcessKind::Control, ProcessKind::Leader, ProcessKind::Relay, ProcessKind::Proxy];
     let kind = kinds[random.usize(..kinds.len())];
-    match family {
+    match scenario {
         Scenario::Herd => {
             let kinds = [ProcessKind::Control, ProcessKind::Relay, ProcessKind::Proxy];
             let kind = kinds[random.usize(..kinds.len())];
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -196,7 +196,7 @@
         }
         let delay_ms = self.delay_ms(from_zone, to_zone);
         if !self.is_up(to) {
-            if let Some(call) = packet.request_call() {
+            if let Some(call) = packet.request_call_id() {
                 let reset = Event::Deliver { from: to, packet: Packet::Reset(call) };
                 self.push(self.now_ms + 2 * delay_ms, from, reset);
             }
--- a/crates/simulator/src/operators.rs
+++ b/crates/simulator/src/operators.rs
@@ -74,11 +74,11 @@
         self.pending.is_none()
     }
 
-    pub fn on_timer(&mut self, timer: &Timer, shared: &mut SharedStatus, hosts: &mut Hosts) {
+    pub fn on_timer(&mut self, timer: &Timer, shared_status: &mut SharedStatus, hosts: &mut Hosts) {
         match timer {
             Timer::Act => {
-                if self.pending.is_none() && !shared.stopped {
-                    self.act(shared, hosts);
+                if self.pending.is_none() && !shared_status.stopped {
+                    self.act(shared_status, hosts);
                 }
                 let delay_ms = hosts.random.u64(self.action_interval_ms.clone());
                 hosts.set_timer(self.node(), delay_ms, Timer::Act);
@@ -88,12 +88,12 @@
         }
     }
 
-    fn act(&mut self, shared: &mut SharedStatus, hosts: &mut Hosts) {
-        let Some((command, digest)) = self.choose(shared, hosts) else { return };
+    fn act(&mut self, shared_status: &mut SharedStatus, hosts: &mut Hosts) {
+        let Some((command, digest)) = self.choose_command(shared_status, hosts) else { return };
         self.next_request += 1;
         let request_id = format!("{}-{}", self.number, self.next_request);
         if matches!(command, Command::Roll { .. } | Command::Withdraw { .. }) {
-            shared.generation_requests.insert(request_id.clone());
+            shared_status.generation_requests.insert(request_id.clone());
         }
         let operator = format!("operator-{}", self.number);
         let request = Request { operator, request_id, command };
@@ -102,44 +102,48 @@
         self.send(hosts);
     }
 
-    fn choose(&self, shared: &mut SharedStatus, hosts: &mut Hosts) -> Option<(Command, Digest)> {
-        if let Some((generation, from_stage)) = shared.rollout {
+    fn choose_command(
+        &self,
+        shared_status: &mut SharedStatus,
+        hosts: &mut Hosts,
+    ) -> Option<(Command, Digest)> {
+        if let Some((generation, from_stage)) = shared_status.rollout {
             if hosts.random.u32(0..100) < 70 {
                 return Some((Command::Advance { generation, from_stage }, Digest([0; 32])));
             }
         }
         match hosts.random.u32(0..100) {
-            0..=29 => Some(self.submit(shared, hosts)),
+            0..=29 => Some(self.submit(shared_status, hosts)),
             30..=54 => {
-                let other = shared.submitted.iter().rev().find(|(_, by)| *by != self.number);
+                let other = shared_status.submitted.iter().rev().find(|(_, by)| *by != self.number);
                 let digest = other.map(|(digest, _)| *digest)?;
                 Some((Command::Approve { digest, signature: Vec::new() }, digest))
             }
             55..=91 => {
-                let digest = *shared.approved.last()?;
-                let stages = stages(hosts);
-                let expected_generation = shared.generation;
+                let digest = *shared_status.approved.last()?;
+                let stages = random_stages(hosts);
+                let expected_generation = shared_status.generation;
                 let advance_after_s = None;
                 let command =
                     Command::Roll { digest, expected_generation, stages, advance_after_s };
                 Some((command, digest))
             }
             _ => {
-                let expected_generation = shared.generation;
+                let expected_generation = shared_status.generation;
                 Some((Command::Withdraw { expected_generation, to: None }, Digest([0; 32])))
             }
         }
     }
 
-    fn submit(&self, shared: &mut SharedStatus, hosts: &mut Hosts) -> (Command, Digest) {
+    fn submit(&self, shared_status: &mut SharedStatus, hosts: &mut Hosts) -> (Command, Digest) {
         let same_version = self.reuses_versions && hosts.random.u32(0..100) < 50;
-        if !same_version || shared.next_version == 0 {
-            shared.next_version += 1;
+        if !same_version || shared_status.next_version == 0 {
+            shared_status.next_version += 1;
         }
-        shared.next_revision += 1;
-        let bundle = bundle_of(shared.next_revision);
+        shared_status.next_revision += 1;
+        let bundle = bundle_of(shared_status.next_revision);
         let compressed = BundleUpdate::compress(&bundle);
-        (Command::Submit { version: shared.next_version, compressed }, bundle.digest())
+        (Command::Submit { version: shared_status.next_version, compressed }, bundle.digest())
     }
 
     fn send(&mut self, hosts: &mut Hosts) {
@@ -176,7 +180,7 @@
     pub fn on_packet(
         &mut self,
         packet: Packet,
-        shared: &mut SharedStatus,
+        shared_status: &mut SharedStatus,
         hosts: &mut Hosts,
         checker: &mut Checker,
     ) {
@@ -185,7 +189,7 @@
                 if self.pending.as_ref().is_some_and(|pending| pending.call == call) =>
             {
                 let pending = self.pending.take().expect("checked by the guard");
-                record_answer(self.number, &pending, &answer, shared, checker);
+                record_answer(self.number, &pending, &answer, shared_status, checker);
             }
             Packet::ProposeAnswer(call, ProposalReply::NotLeader { leader }) => {
                 self.on_call_lost(call, leader, hosts);
@@ -198,7 +202,7 @@
     }
 }
 
-fn stages(hosts: &mut Hosts) -> Vec<Stage> {
+fn random_stages(hosts: &mut Hosts) -> Vec<Stage> {
     match hosts.random.u32(0..4) {
         0 => vec![Stage::Percent(40), Stage::All],
         1 => vec![Stage::Zones(vec!["zone-1".to_owned()]), Stage::Percent(50), Stage::All],
@@ -211,7 +215,7 @@
     operator: usize,
     pending: &Pending,
     answer: &Answer,
-    shared: &mut SharedStatus,
+    shared_status: &mut SharedStatus,
     checker: &mut Checker,
 ) {
     if answer.is_err() {
@@ -224,16 +228,16 @@
                 _ => pending.digest,
             };
             checker.on_accepted(&pending.request.request_id, digest, accepted);
-            record_accepted(operator, accepted, pending, shared);
+            record_accepted(operator, accepted, pending, shared_status);
         }
-        Err(Refusal::GenerationConflict { current, .. }) => shared.generation = *current,
+        Err(Refusal::GenerationConflict { current, .. }) => shared_status.generation = *current,
         Err(Refusal::RolloutInProgress { generation }) => {
-            shared.rollout.get_or_insert((*generation, 1));
+            shared_status.rollout.get_or_insert((*generation, 1));
         }
         Err(Refusal::NoSuchRollout { .. }) => {
             // Another operator advanced or withdrew it: tries the next stages, up to the third,
             // then forgets the rollout.
-            shared.rollout = match shared.rollout {
+            shared_status.rollout = match shared_status.rollout {
                 Some((generation, stage)) if stage < 3 => Some((generation, stage + 1)),
                 _ => None,
             };
@@ -246,23 +250,23 @@
     operator: usize,
     accepted: &Accepted,
     pending: &Pending,
-    shared: &mut SharedStatus,
+    shared_status: &mut SharedStatus,
 ) {
     match accepted {
-        Accepted::Submitted { digest, .. } => shared.submitted.push((*digest, operator)),
-        Accepted::Approved { digest } => shared.approved.push(*digest),
+        Accepted::Submitted { digest, .. } => shared_status.submitted.push((*digest, operator)),
+        Accepted::Approved { digest } => shared_status.approved.push(*digest),
         Accepted::Rolled { generation } => {
-            shared.generation = shared.generation.max(*generation);
+            shared_status.generation = shared_status.generation.max(*generation);
             let staged = matches!(&pending.request.command,
                 Command::Roll { stages, .. } if stages.len() > 1);
-            shared.rollout = staged.then_some((*generation, 1));
+            shared_status.rollout = staged.then_some((*generation, 1));
         }
         Accepted::Advanced { generation, stages, complete } => {
-            shared.rollout = (!complete).then_some((*generation, *stages));
+            shared_status.rollout = (!complete).then_some((*generation, *stages));
         }
         Accepted::Withdrawn { generation, .. } => {
-            shared.generation = shared.generation.max(*generation);
-            shared.rollout = None;
+            shared_status.generation = shared_status.generation.max(*generation);
+            shared_status.rollout = None;
         }
         _ => {}
     }
--- a/crates/simulator/src/packet.rs
+++ b/crates/simulator/src/packet.rs
@@ -58,7 +58,7 @@
 
 impl Packet {
     /// Returns the call id if this is a request.
-    pub fn request_call(&self) -> Option<CallId> {
+    pub fn request_call_id(&self) -> Option<CallId> {
         match self {
             Packet::Watch(call, _)
             | Packet::Report(call, _)
--- a/crates/simulator/src/proxy_node.rs
+++ b/crates/simulator/src/proxy_node.rs
@@ -217,7 +217,7 @@
     }
 
     /// Starts an attempt of a keyed call.
-    pub fn begin_keyed(&mut self, key: &str, hosts: &mut Hosts) {
+    pub fn begin_keyed_call(&mut self, key: &str, hosts: &mut Hosts) {
         let attempt = hosts.random.u64(..);
         let target = hosts.random.usize(..self.controls.len());
         let deadline_ms = hosts.clock_ms(self.node()) + KEYED_ATTEMPT_LIMIT_MS;
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -108,14 +108,14 @@
             .collect()
     }
 
-    pub fn on_timer(&mut self, timer: &Timer, listed: &[Endpoint], hosts: &mut Hosts) {
+    pub fn on_timer(&mut self, timer: &Timer, platform_list: &[Endpoint], hosts: &mut Hosts) {
         match timer {
             Timer::SendWatch => self.send_watch(hosts),
             Timer::SendReport => self.send_report(hosts),
             Timer::CallTimeout(call) => self.on_call_lost(*call, hosts),
             Timer::HoldExpired(call) => self.on_hold_expired(*call, hosts),
             Timer::PollPlatform => {
-                self.core.endpoints_mut().merge_list(listed);
+                self.core.endpoints_mut().merge_list(platform_list);
                 hosts.set_timer(self.node(), PLATFORM_POLL_INTERVAL_MS, Timer::PollPlatform);
                 self.answer_held_polls(hosts);
             }
--- a/crates/simulator/src/workload.rs
+++ b/crates/simulator/src/workload.rs
@@ -47,7 +47,7 @@
 }
 
 /// Returns the initial endpoint list of the platform, in which all back ends are live.
-pub(crate) fn first_list(zones: usize) -> Vec<Endpoint> {
+pub(crate) fn initial_endpoints(zones: usize) -> Vec<Endpoint> {
     let mut list = Vec::new();
     for (position, service) in SERVICES.iter().enumerate() {
         for number in 0..BACKENDS_PER_SERVICE {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -15,7 +15,7 @@
 use crate::proxy_node::ProxyNode;
 use crate::relay_node::RelayNode;
 use crate::scenario::{BrokenVariant, Scenario};
-use crate::workload::first_list;
+use crate::workload::initial_endpoints;
 use consensus::Membership;
 use endpoints::Endpoint;
 use proxy::ProxyWeakness;
@@ -39,7 +39,7 @@
 const REPAIR_INTERVAL_MS: u64 = 100;
 /// Time after which no proxy may use a leaving back end, in runs without faults.
 const LEAVING_LIMIT_MS: u64 = 5_000;
-const RETURN_AFTER_MS: u64 = 7_000;
+const BACKEND_RETURN_DELAY_MS: u64 = 7_000;
 const MAX_LIST_LAG_MS: u64 = 1_500;
 
 /// Parameters of a run.
@@ -83,7 +83,7 @@
     relays: Vec<Option<RelayNode>>,
     proxies: Vec<ProxyNode>,
     operators: Vec<OperatorNode>,
-    shared: SharedStatus,
+    shared_status: SharedStatus,
     faults: Vec<(u64, Fault)>,
     restarts: Vec<(u64, Node)>,
     cut_ends: Vec<(u64, (usize, usize))>,
@@ -118,11 +118,11 @@
             relays: (0..RELAYS).map(|_| None).collect(),
             proxies: Vec::new(),
             operators: Vec::new(),
-            shared: SharedStatus::default(),
+            shared_status: SharedStatus::default(),
             faults,
             restarts: Vec::new(),
             cut_ends: Vec::new(),
-            platform_lists: vec![(0, first_list(ZONES))],
+            platform_lists: vec![(0, initial_endpoints(ZONES))],
             list_lag_ms,
             backend_return_times: Vec::new(),
             leaving_checks: Vec::new(),
@@ -135,11 +135,11 @@
             next_keyed_call_ms: 500,
             events: 0,
         };
-        world.start_everything(voters);
+        world.start_all(voters);
         world
     }
 
-    fn start_everything(&mut self, voters: u64) {
+    fn start_all(&mut self, voters: u64) {
         let membership = Membership::of_voters(1..=voters);
         for id in 1..=voters {
             let mut store = MemoryStore::new(initial_snapshot(membership.clone()));
@@ -247,7 +247,7 @@
         RunOutcome {
             violations: self.checker.violations,
             convergence_ms,
-            generations: self.shared.generation_requests.len() as u64,
+            generations: self.shared_status.generation_requests.len() as u64,
             events: self.events,
         }
     }
@@ -329,12 +329,12 @@
             }
             Node::Operator(number) => {
                 let operator = &mut self.operators[number];
-                let (shared, hosts) = (&mut self.shared, &mut self.hosts);
+                let (shared_status, hosts) = (&mut self.shared_status, &mut self.hosts);
                 match event {
                     Event::Timer(Timer::SendReport) => operator.resend(hosts),
-                    Event::Timer(timer) => operator.on_timer(&timer, shared, hosts),
+                    Event::Timer(timer) => operator.on_timer(&timer, shared_status, hosts),
                     Event::Deliver { packet, .. } => {
-                        operator.on_packet(packet, shared, hosts, &mut self.checker);
+                        operator.on_packet(packet, shared_status, hosts, &mut self.checker);
                     }
                 }
             }
@@ -359,13 +359,13 @@
     }
 
     fn handle_relay(&mut self, number: usize, event: Event) {
-        let listed = match &event {
+        let platform_list = match &event {
             Event::Timer(Timer::PollPlatform) => self.platform_list_seen_by(number),
             _ => Vec::new(),
         };
         let Some(relay) = &mut self.relays[number] else { return };
         match event {
-            Event::Timer(timer) => relay.on_timer(&timer, &listed, &mut self.hosts),
+            Event::Timer(timer) => relay.on_timer(&timer, &platform_list, &mut self.hosts),
             Event::Deliver { packet: Packet::LeavingMarks(marks), .. } => {
                 if relay.on_leaving_marks(marks.clone(), &mut self.hosts) {
                     for other in (0..RELAYS).filter(|other| *other != number) {
@@ -380,7 +380,7 @@
 
     fn end_faults(&mut self) {
         self.trace(|| "all faults have ended".to_owned());
-        self.shared.stopped = true;
+        self.shared_status.stopped = true;
         self.faults.clear();
         self.cut_ends.clear();
         self.hosts.faults = NetworkFaults::default();
--- a/crates/simulator/src/world/convergence.rs
+++ b/crates/simulator/src/world/convergence.rs
@@ -35,11 +35,11 @@
         }
         if let Some(node) = self.leader().and_then(|id| self.controls.get(&id)) {
             self.checker.on_final_state(&node.config);
-            let requests = self.shared.generation_requests.len() as u64;
+            let requests = self.shared_status.generation_requests.len() as u64;
             self.checker.on_final_count(node.config.newest_generation(), requests);
         }
         self.checker.on_final_calls();
-        self.check_views();
+        self.check_bundles();
     }
 
     pub(super) fn describe_state(&self) -> String {
@@ -62,7 +62,7 @@
     }
 
     /// Checks that no proxy's configuration has a dangling reference.
-    pub(super) fn check_views(&mut self) {
+    pub(super) fn check_bundles(&mut self) {
         let broken: BTreeSet<usize> = self
             .proxies
             .iter()
--- a/crates/simulator/src/world/injection.rs
+++ b/crates/simulator/src/world/injection.rs
@@ -28,7 +28,7 @@
                     }
                 }
             }
-            Fault::Cut { both_ways, heal_ms } => self.cut(both_ways, heal_ms),
+            Fault::Cut { both_ways, heal_ms } => self.partition_zone(both_ways, heal_ms),
             Fault::Freeze { kind, wake_ms } => {
                 if let Some(node) = self.pick_node(kind) {
                     let until_ms = self.hosts.now_ms + wake_ms;
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn cut(&mut self, both_ways: bool, heal_ms: u64) {
+    pub(super) fn partition_zone(&mut self, both_ways: bool, heal_ms: u64) {
         let zone = self.hosts.random.usize(..ZONES);
         let at_ms = self.hosts.now_ms + heal_ms;
         for other in (0..ZONES).filter(|other| *other != zone) {
--- a/crates/simulator/src/world/outside.rs
+++ b/crates/simulator/src/world/outside.rs
@@ -1,6 +1,6 @@
 //! Back ends, the platform's endpoint list and callers.
 
-use super::{World, FAULTS_END_MS, LEAVING_LIMIT_MS, PROXIES, RETURN_AFTER_MS};
+use super::{World, BACKEND_RETURN_DELAY_MS, FAULTS_END_MS, LEAVING_LIMIT_MS, PROXIES};
 use crate::packet::{Node, Packet};
 use crate::scenario::{BrokenVariant, Scenario};
 use endpoints::{Endpoint, EndpointState};
@@ -17,7 +17,7 @@
         list[position].state = EndpointState::Leaving;
         let endpoint = list[position].clone();
         self.platform_lists.push((now_ms, list));
-        self.backend_return_times.push((now_ms + RETURN_AFTER_MS, position));
+        self.backend_return_times.push((now_ms + BACKEND_RETURN_DELAY_MS, position));
         self.leaving_checks.push((now_ms + LEAVING_LIMIT_MS, endpoint.clone()));
         // One proxy learns it from the back end itself, before any list shows it.
         let number = self.hosts.random.usize(..PROXIES);
@@ -77,7 +77,7 @@
             let Some((_, key)) = self.issued_keys.get(position).cloned() else { continue };
             let number = self.hosts.random.usize(..PROXIES);
             if self.hosts.is_up(Node::Proxy(number)) && !self.hosts.is_frozen(Node::Proxy(number)) {
-                self.proxies[number].begin_keyed(&key, &mut self.hosts);
+                self.proxies[number].begin_keyed_call(&key, &mut self.hosts);
             }
         }
     }
