--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -8,8 +8,8 @@
 use forward::RoutingTable;
 use getopts::Options;
 use proxy::{
-    load_operator_keys, load_seal_keys, relay_address, run_watch, Preparation, ProxyCore,
-    RelayAddress, RelayChooser, WatchCounters, Watcher,
+    load_operator_keys, load_seal_keys, relay_address, run_watch, PreparedConfig, ProxyCore,
+    RelayAddress, RelayChooser, WatchCounters, WatchHandler,
 };
 use rollout::ProxyName;
 use serde::{Deserialize, Serialize};
@@ -49,22 +49,22 @@
     applied: Arc<Mutex<Vec<(u64, u64)>>>,
 }
 
-impl Watcher for HollowProxy {
-    fn put_in_force(
+impl WatchHandler for HollowProxy {
+    fn apply_config(
         &self,
-        preparation: &Preparation,
+        prepared: &PreparedConfig,
         approval: Option<&Approval>,
     ) -> Result<(), String> {
-        if preparation.generation > 0 {
+        if prepared.generation > 0 {
             let approval = approval.ok_or("the bundle is not signed off")?;
-            let digest = preparation.bundle.digest();
+            let digest = prepared.bundle.digest();
             let verified = self.keys.operators.verify_approval(&digest, approval);
             verified.map_err(|error| error.to_string())?;
         }
-        RoutingTable::compile(preparation.generation, &preparation.bundle, &self.keys.seal)
+        RoutingTable::compile(prepared.generation, &prepared.bundle, &self.keys.seal)
             .map_err(|error| error.to_string())?;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let entry = (preparation.generation, now.as_micros() as u64);
+        let entry = (prepared.generation, now.as_micros() as u64);
         self.applied.lock().unwrap_or_else(PoisonError::into_inner).push(entry);
         Ok(())
     }
--- a/crates/proxy/src/applied_store.rs
+++ b/crates/proxy/src/applied_store.rs
@@ -3,7 +3,7 @@
 //! It is saved and synced before it is put in force, so that a restart never goes back and works
 //! even when every relay is out of reach.
 
-use crate::core::Preparation;
+use crate::core::PreparedConfig;
 use bundle::{Bundle, Digest};
 use speedy::{Readable, Writable};
 use std::fs::{self, File};
@@ -22,7 +22,7 @@
 
 /// Reads what was in force; `None` if nothing was, or if the file is damaged: the proxy then
 /// starts like one without a disk and asks for confirmation.
-pub(crate) fn load(folder: &Path) -> io::Result<Option<Preparation>> {
+pub(crate) fn load(folder: &Path) -> io::Result<Option<PreparedConfig>> {
     fs::create_dir_all(folder)?;
     let bytes = match fs::read(folder.join(FILE_NAME)) {
         Ok(bytes) => bytes,
@@ -37,15 +37,15 @@
         return Ok(None);
     };
     let whole = bundle.digest() == applied.digest;
-    Ok(whole.then_some(Preparation { generation: applied.generation, bundle }))
+    Ok(whole.then_some(PreparedConfig { generation: applied.generation, bundle }))
 }
 
 /// Saves and syncs what will be in force.
-pub(crate) fn save(folder: &Path, preparation: &Preparation) -> io::Result<()> {
+pub(crate) fn save(folder: &Path, prepared: &PreparedConfig) -> io::Result<()> {
     let applied = Applied {
-        generation: preparation.generation,
-        digest: preparation.bundle.digest(),
-        objects: preparation.bundle.encode(),
+        generation: prepared.generation,
+        digest: prepared.bundle.digest(),
+        objects: prepared.bundle.encode(),
     };
     let temporary: PathBuf = folder.join(format!("{FILE_NAME}.tmp"));
     let mut file = File::create(&temporary)?;
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -5,7 +5,7 @@
 use crate::refusal::{Refusal, RefusalKind, HOP_HEADER};
 use crate::runtime::Shared;
 use crate::upstream::{
-    SendError, SendPolicy, UpstreamAnswer, UpstreamRequest, BACKEND_STATE_HEADER, LOAD_HEADER,
+    SendError, SendPolicy, UpstreamRequest, UpstreamResponse, BACKEND_STATE_HEADER, LOAD_HEADER,
 };
 use endpoints::EndpointKey;
 use forward::{
@@ -78,7 +78,7 @@
     shared: &Shared,
     table: &Arc<RoutingTable>,
     request: Request<Body>,
-) -> Result<UpstreamAnswer, Refusal> {
+) -> Result<UpstreamResponse, Refusal> {
     let route = find_route(shared, table, &request)?;
     let call = read_call(shared, &route, request)?;
     shared.dispatcher.count_call(&route.route.name, route.route.retry_budget_percent);
@@ -165,7 +165,7 @@
     route: &CompiledRoute,
     call: &Call,
     key: &str,
-) -> Result<UpstreamAnswer, Refusal> {
+) -> Result<UpstreamResponse, Refusal> {
     let digest = request_digest(call.method.as_str(), &call.path, &call.body);
     let keep_ms = shared.settings.claim_keep_s * 1_000;
     let name = &route.route.name;
@@ -181,7 +181,7 @@
     route: &CompiledRoute,
     call: &Call,
     held: Option<HeldClaim<'_>>,
-) -> Result<UpstreamAnswer, Refusal> {
+) -> Result<UpstreamResponse, Refusal> {
     let result = send_attempts(shared, route, call);
     if let Some(held) = held {
         match &result {
@@ -199,7 +199,7 @@
     shared: &Shared,
     route: &CompiledRoute,
     call: &Call,
-) -> Result<UpstreamAnswer, Refusal> {
+) -> Result<UpstreamResponse, Refusal> {
     let service = route.service(shared.dispatcher.draw()).to_owned();
     let mut tried: Vec<EndpointKey> = Vec::new();
     let mut worst = Verdict::NotRun;
@@ -257,7 +257,7 @@
     route: &CompiledRoute,
     call: &Call,
     upstream: &EndpointKey,
-) -> Result<UpstreamAnswer, SendError> {
+) -> Result<UpstreamResponse, SendError> {
     let left = call.deadline.saturating_duration_since(BootInstant::now());
     let headers = upstream_headers(route, call, left);
     let request = UpstreamRequest {
@@ -298,7 +298,7 @@
     headers
 }
 
-fn report_of(outcome: &Result<UpstreamAnswer, SendError>) -> CallReport {
+fn report_of(outcome: &Result<UpstreamResponse, SendError>) -> CallReport {
     match outcome {
         Ok(answer) if is_shed(answer) => CallReport::Shed,
         Ok(answer) => {
@@ -309,16 +309,16 @@
     }
 }
 
-fn did_not_run(answer: &UpstreamAnswer) -> bool {
+fn did_not_run(answer: &UpstreamResponse) -> bool {
     answer.headers.get(VERDICT_HEADER).is_some_and(|verdict| verdict == Verdict::NotRun.as_str())
 }
 
 /// The back end itself, and not a proxy behind it that has already retried, refused the call.
-fn is_shed(answer: &UpstreamAnswer) -> bool {
+fn is_shed(answer: &UpstreamResponse) -> bool {
     did_not_run(answer) && !answer.headers.contains_key(HOP_HEADER)
 }
 
-fn to_response(answer: UpstreamAnswer) -> Response<Vec<u8>> {
+fn to_response(answer: UpstreamResponse) -> Response<Vec<u8>> {
     let mut builder = Response::builder().status(answer.status);
     if let Some(headers) = builder.headers_mut() {
         for (name, value) in &answer.headers {
--- a/crates/proxy/src/chooser.rs
+++ b/crates/proxy/src/chooser.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether it is time to try the nearest relays again; if so, they are current now.
-    pub fn try_return_home(&mut self, now_ms: u64) -> bool {
+    pub fn try_return_to_nearest(&mut self, now_ms: u64) -> bool {
         if self.return_at_ms.is_none_or(|at| now_ms < at) {
             return false;
         }
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -19,7 +19,7 @@
 
 /// A configuration that was checked and can be put in force.
 #[derive(Clone, Debug)]
-pub struct Preparation {
+pub struct PreparedConfig {
     /// Its generation.
     pub generation: u64,
     /// Its content.
@@ -37,7 +37,7 @@
     /// Put this in force, then call [`ProxyCore::commit`], or [`ProxyCore::refuse`].
     Prepare {
         /// What to put in force.
-        preparation: Preparation,
+        prepared: PreparedConfig,
         /// Sign-off to check.
         approval: Option<bundle::Approval>,
     },
@@ -68,7 +68,7 @@
 
 impl ProxyCore {
     /// A proxy with what it had stored, if it has a disk.
-    pub fn new(name: ProxyName, stored: Option<Preparation>) -> Self {
+    pub fn new(name: ProxyName, stored: Option<PreparedConfig>) -> Self {
         let generation = stored.as_ref().map(|stored| stored.generation);
         let bundle = stored.map(|stored| stored.bundle).unwrap_or_default();
         let services = used_services(&bundle);
@@ -187,8 +187,8 @@
             Ok(bundle) => {
                 let at = now_ms.saturating_sub(u64::from(update.source_age_ms));
                 self.current_at_ms = Some(self.current_at_ms.map_or(at, |known| known.max(at)));
-                let preparation = Preparation { generation: config.generation, bundle };
-                ReplyEffect::Prepare { preparation, approval: config.approval }
+                let prepared = PreparedConfig { generation: config.generation, bundle };
+                ReplyEffect::Prepare { prepared, approval: config.approval }
             }
             Err(error) => {
                 self.on_update_error(config.generation, &error);
@@ -231,8 +231,8 @@
     }
 
     /// What was prepared is in force now.
-    pub fn commit(&mut self, preparation: Preparation) {
-        let services = used_services(&preparation.bundle);
+    pub fn commit(&mut self, prepared: PreparedConfig) {
+        let services = used_services(&prepared.bundle);
         if services != self.services {
             self.endpoints.forget_position();
             self.services = services;
@@ -241,8 +241,8 @@
         self.must_say_state |= self.refused.is_some() || self.needs_snapshot;
         self.refused = None;
         self.needs_snapshot = false;
-        self.generation = Some(preparation.generation);
-        self.bundle = preparation.bundle;
+        self.generation = Some(prepared.generation);
+        self.bundle = prepared.bundle;
     }
 
     /// What was prepared cannot be put in force; the configuration held stays.
--- a/crates/proxy/src/keyed.rs
+++ b/crates/proxy/src/keyed.rs
@@ -2,7 +2,7 @@
 
 use crate::claim_link::ClaimLink;
 use crate::refusal::{Refusal, RefusalKind};
-use crate::upstream::UpstreamAnswer;
+use crate::upstream::UpstreamResponse;
 use claims::{ClaimAnswer, ClaimCommand, Outcome, MAX_KEY_BYTES};
 use ring::digest::{Context, SHA256};
 use telemetry::BootInstant;
@@ -24,7 +24,7 @@
     /// Send the call, once.
     Send(HeldClaim<'a>),
     /// It ran before; this was the answer.
-    Answered(UpstreamAnswer),
+    Answered(UpstreamResponse),
 }
 
 /// Claims a call.
@@ -75,7 +75,7 @@
 
 impl HeldClaim<'_> {
     /// Records the answer; resends get it.
-    pub fn finish(self, answer: &UpstreamAnswer) {
+    pub fn finish(self, answer: &UpstreamResponse) {
         let content_type = answer.headers.get("Content-Type").and_then(|value| value.to_str().ok());
         let outcome = Outcome {
             status: answer.status.as_u16(),
@@ -93,7 +93,7 @@
     }
 }
 
-fn recorded(outcome: Outcome) -> Result<UpstreamAnswer, Refusal> {
+fn recorded(outcome: Outcome) -> Result<UpstreamResponse, Refusal> {
     let Some(body) = outcome.body else {
         return Err(Refusal {
             kind: RefusalKind::OutcomeNotKept,
@@ -106,7 +106,7 @@
         headers.insert("Content-Type", value);
     }
     let status = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
-    Ok(UpstreamAnswer { status, headers, body })
+    Ok(UpstreamResponse { status, headers, body })
 }
 
 /// Digest of what a keyed request asks for.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -20,14 +20,15 @@
 mod upstream;
 mod watch;
 
-pub use crate::core::{Preparation, ProxyCore, ProxyWeakness, ReplyEffect};
+pub use crate::core::{PreparedConfig, ProxyCore, ProxyWeakness, ReplyEffect};
 pub use chooser::{RelayAddress, RelayChooser};
 pub use refusal::{Refusal, RefusalKind, HOP_HEADER};
 pub use runtime::{
-    load_operator_keys, load_seal_keys, relay_address, run, unsupported, ProxyError, RunningProxy,
+    load_operator_keys, load_seal_keys, relay_address, run, unsupported_reason, ProxyError,
+    RunningProxy,
 };
 pub use upstream::{
-    SendError, SendPolicy, UpstreamAnswer, UpstreamClient, UpstreamRequest, BACKEND_STATE_HEADER,
+    SendError, SendPolicy, UpstreamClient, UpstreamRequest, UpstreamResponse, BACKEND_STATE_HEADER,
     LOAD_HEADER,
 };
-pub use watch::{run_watch, WatchCounters, Watcher};
+pub use watch::{run_watch, WatchCounters, WatchHandler};
--- a/crates/proxy/src/runtime.rs
+++ b/crates/proxy/src/runtime.rs
@@ -2,11 +2,11 @@
 
 use crate::chooser::{RelayAddress, RelayChooser};
 use crate::claim_link::ClaimLink;
-use crate::core::{Preparation, ProxyCore};
+use crate::core::{PreparedConfig, ProxyCore};
 use crate::dispatch::Dispatcher;
 use crate::server::CallerListener;
 use crate::upstream::UpstreamClient;
-use crate::watch::{run_watch, WatchCounters, Watcher};
+use crate::watch::{run_watch, WatchCounters, WatchHandler};
 use crate::{applied_store, local_backend, observe, server};
 use bundle::{Approval, Bundle, OperatorKeys, SealKeys};
 use endpoints::{EndpointKey, EndpointView, LeavingMark};
@@ -145,11 +145,11 @@
         }
     }
 
-    fn compile(&self, preparation: &Preparation) -> Result<RoutingTable, String> {
-        if let Some(reason) = unsupported(&preparation.bundle) {
+    fn compile(&self, prepared: &PreparedConfig) -> Result<RoutingTable, String> {
+        if let Some(reason) = unsupported_reason(&prepared.bundle) {
             return Err(reason.to_owned());
         }
-        RoutingTable::compile(preparation.generation, &preparation.bundle, &self.seal_keys)
+        RoutingTable::compile(prepared.generation, &prepared.bundle, &self.seal_keys)
             .map_err(|error| error.to_string())
     }
 
@@ -161,26 +161,26 @@
 }
 
 /// Why no proxy may put a bundle in force, however right it is.
-pub fn unsupported(bundle: &Bundle) -> Option<&'static str> {
+pub fn unsupported_reason(bundle: &Bundle) -> Option<&'static str> {
     // A proxy knows no keys: it would let every caller in, and upstreams would be told no tenant.
     bundle.tenants().next().map(|_| "the bundle has tenants, which only sidecars know")
 }
 
-impl Watcher for Shared {
-    fn put_in_force(
+impl WatchHandler for Shared {
+    fn apply_config(
         &self,
-        preparation: &Preparation,
+        prepared: &PreparedConfig,
         approval: Option<&Approval>,
     ) -> Result<(), String> {
-        if preparation.generation > 0 && !preparation.bundle.objects().is_empty() {
+        if prepared.generation > 0 && !prepared.bundle.objects().is_empty() {
             let approval = approval.ok_or("the bundle is not signed off")?;
             self.operators
-                .verify_approval(&preparation.bundle.digest(), approval)
+                .verify_approval(&prepared.bundle.digest(), approval)
                 .map_err(|error| error.to_string())?;
         }
-        let table = self.compile(preparation)?;
+        let table = self.compile(prepared)?;
         if let Some(folder) = &self.settings.data_dir {
-            applied_store::save(folder, preparation).map_err(|error| error.to_string())?;
+            applied_store::save(folder, prepared).map_err(|error| error.to_string())?;
         }
         self.install(table);
         Ok(())
@@ -309,7 +309,7 @@
     Ok(keys)
 }
 
-fn load_applied(settings: &ProxySettings) -> Result<Option<Preparation>, ProxyError> {
+fn load_applied(settings: &ProxySettings) -> Result<Option<PreparedConfig>, ProxyError> {
     let Some(folder) = &settings.data_dir else {
         return Ok(None);
     };
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -52,7 +52,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct UpstreamAnswer {
+pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers as received.
@@ -103,7 +103,7 @@
         &self,
         address: SocketAddr,
         request: &UpstreamRequest<'_>,
-    ) -> Result<UpstreamAnswer, SendError> {
+    ) -> Result<UpstreamResponse, SendError> {
         let agent = match request.policy {
             SendPolicy::Repeatable => &self.pooled,
             SendPolicy::Once => &self.fresh,
@@ -117,7 +117,7 @@
         // connection is dropped.
         let read = body.with_config().limit(self.max_body_bytes).read_to_vec();
         let body = read.map_err(|error| after_head(&error))?;
-        Ok(UpstreamAnswer { status: parts.status, headers: parts.headers, body })
+        Ok(UpstreamResponse { status: parts.status, headers: parts.headers, body })
     }
 }
 
--- a/crates/proxy/src/watch.rs
+++ b/crates/proxy/src/watch.rs
@@ -1,7 +1,7 @@
 //! The conversation with a relay: one thread that asks, applies and asks again.
 
 use crate::chooser::RelayChooser;
-use crate::core::{Preparation, ProxyCore, ReplyEffect};
+use crate::core::{PreparedConfig, ProxyCore, ReplyEffect};
 use endpoints::EndpointView;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,11 +17,11 @@
 const BACKOFF_CAP_MS: u64 = 1_000;
 
 /// What a process does with the configuration it watches.
-pub trait Watcher: Send + Sync {
+pub trait WatchHandler: Send + Sync {
     /// Saves and puts in force what was prepared; on an error everything stays as it was.
-    fn put_in_force(
+    fn apply_config(
         &self,
-        preparation: &Preparation,
+        prepared: &PreparedConfig,
         approval: Option<&bundle::Approval>,
     ) -> Result<(), String>;
     /// Endpoints or services changed.
@@ -44,7 +44,7 @@
     core: &Mutex<ProxyCore>,
     tls: &TlsIdentity,
     chooser: &mut RelayChooser,
-    watcher: &dyn Watcher,
+    watcher: &dyn WatchHandler,
     counters: &WatchCounters,
     clock: Clock,
     stop: &StopSignal,
@@ -76,7 +76,7 @@
 struct Conversation<'a> {
     core: &'a Mutex<ProxyCore>,
     chooser: &'a mut RelayChooser,
-    watcher: &'a dyn Watcher,
+    watcher: &'a dyn WatchHandler,
     counters: &'a WatchCounters,
     clock: Clock,
     stop: &'a StopSignal,
@@ -114,8 +114,8 @@
                     self.watcher.endpoints_changed(self.lock().endpoints());
                 }
             }
-            ReplyEffect::Prepare { preparation, approval } => {
-                self.put_in_force(preparation, approval.as_ref());
+            ReplyEffect::Prepare { prepared, approval } => {
+                self.apply_config(prepared, approval.as_ref());
                 self.watcher.endpoints_changed(self.lock().endpoints());
             }
             ReplyEffect::Retry { after_ms } => {
@@ -127,15 +127,15 @@
             }
         }
         let stale = source_age_ms.is_some_and(|age| self.chooser.on_source_age(age, now_ms));
-        let homeward = self.chooser.try_return_home(now_ms);
+        let homeward = self.chooser.try_return_to_nearest(now_ms);
         (stale || homeward).then_some(Duration::ZERO)
     }
 
-    fn put_in_force(&self, preparation: Preparation, approval: Option<&bundle::Approval>) {
-        let generation = preparation.generation;
-        match self.watcher.put_in_force(&preparation, approval) {
+    fn apply_config(&self, prepared: PreparedConfig, approval: Option<&bundle::Approval>) {
+        let generation = prepared.generation;
+        match self.watcher.apply_config(&prepared, approval) {
             Ok(()) => {
-                self.lock().commit(preparation);
+                self.lock().commit(prepared);
                 info!(generation, "generation_applied");
             }
             Err(error) => {
--- a/crates/proxy/tests/core.rs
+++ b/crates/proxy/tests/core.rs
@@ -59,9 +59,9 @@
 
 fn apply(core: &mut ProxyCore, reply: ProxyReply) -> Option<u64> {
     match core.on_reply(reply, 100) {
-        ReplyEffect::Prepare { preparation, .. } => {
-            let generation = preparation.generation;
-            core.commit(preparation);
+        ReplyEffect::Prepare { prepared, .. } => {
+            let generation = prepared.generation;
+            core.commit(prepared);
             Some(generation)
         }
         _ => None,
@@ -172,12 +172,12 @@
 #[test]
 fn a_bundle_with_tenants_is_not_put_in_force() {
     let plain = bundle_with("fares");
-    assert_eq!(proxy::unsupported(&plain), None);
+    assert_eq!(proxy::unsupported_reason(&plain), None);
     let (name, annotation) = ("a".to_owned(), String::new());
     let (keys, rate_milli, burst, rank) = (vec!["key".to_owned()], 0, 0, None);
     let tenant = bundle::Tenant { name, keys, rate_milli, burst, rank, annotation };
     let objects = plain.objects().values().map(|held| held.object.clone());
     let with_tenant = Bundle::from_objects(objects.chain([Object::Tenant(tenant)]).collect());
     assert_eq!(with_tenant.check(), Vec::new(), "it is right all the same");
-    assert!(proxy::unsupported(&with_tenant).is_some());
+    assert!(proxy::unsupported_reason(&with_tenant).is_some());
 }
--- a/crates/relay/src/control_link.rs
+++ b/crates/relay/src/control_link.rs
@@ -151,7 +151,7 @@
     let mut locked = shared.lock();
     loop {
         // The ticket is taken before the request is sent, so that the read begins after it.
-        let ticket = locked.core.confirmation_wanted();
+        let ticket = locked.core.pending_confirmation();
         let left = deadline.saturating_duration_since(BootInstant::now());
         let version = locked.report_version;
         if ticket.is_some() || version != reported_version || left.is_zero() {
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -170,7 +170,7 @@
     }
 
     /// Whether a confirmed read is wanted; taken before the read is sent.
-    pub fn confirmation_wanted(&self) -> Option<Ticket> {
+    pub fn pending_confirmation(&self) -> Option<Ticket> {
         self.confirmations.wanted()
     }
 
--- a/crates/simulator/src/proxy_node.rs
+++ b/crates/simulator/src/proxy_node.rs
@@ -5,7 +5,7 @@
 use crate::packet::{CallId, Node, Packet, ProposalReply, SimCommand, Timer};
 use claims::{ClaimAnswer, ClaimCommand, Outcome};
 use endpoints::{EndpointKey, LeavingMark};
-use proxy::{Preparation, ProxyCore, ProxyWeakness, RelayAddress, RelayChooser, ReplyEffect};
+use proxy::{PreparedConfig, ProxyCore, ProxyWeakness, RelayAddress, RelayChooser, ReplyEffect};
 use rollout::ProxyName;
 use wire::ProxyReply;
 
@@ -29,7 +29,7 @@
     pub number: usize,
     pub core: ProxyCore,
     pub has_disk: bool,
-    pub disk: Option<Preparation>,
+    pub disk: Option<PreparedConfig>,
     pub process: u64,
     chooser: RelayChooser,
     /// What a new process begins with: its own zone's relay.
@@ -173,12 +173,12 @@
         };
         match self.core.on_reply(reply, now_ms) {
             ReplyEffect::None { .. } => {}
-            ReplyEffect::Prepare { preparation, .. } => {
-                checker.on_in_force(self.number, preparation.generation, &preparation.bundle);
+            ReplyEffect::Prepare { prepared, .. } => {
+                checker.on_in_force(self.number, prepared.generation, &prepared.bundle);
                 if self.has_disk {
-                    self.disk = Some(preparation.clone());
+                    self.disk = Some(prepared.clone());
                 }
-                self.core.commit(preparation);
+                self.core.commit(prepared);
             }
             ReplyEffect::Retry { after_ms } => {
                 hosts.timer(self.node(), u64::from(after_ms), Timer::Connect);
@@ -192,7 +192,7 @@
         }
         checker.on_endpoints(self.number, self.process, self.core.endpoints());
         let stale = self.chooser.on_source_age(source_age_ms, now_ms);
-        if stale || self.chooser.try_return_home(now_ms) {
+        if stale || self.chooser.try_return_to_nearest(now_ms) {
             self.reconnect(hosts);
         } else {
             self.send_poll(hosts);
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -159,7 +159,7 @@
         }
         let call = self.new_call();
         self.report.call = Some(call);
-        self.report_ticket = self.core.confirmation_wanted();
+        self.report_ticket = self.core.pending_confirmation();
         let report = self.core.report(hosts.clock_ms(self.node()));
         let confirm = self.report_ticket.is_some();
         let control = Node::Control(self.controls[self.report.target]);
@@ -228,7 +228,7 @@
                     self.core.on_confirmed(ticket, *revision);
                     self.answer_held(hosts);
                 }
-                let wanted = self.core.confirmation_wanted().is_some();
+                let wanted = self.core.pending_confirmation().is_some();
                 let pause_ms = if wanted { 10 } else { REPORT_INTERVAL_MS };
                 hosts.timer(self.node(), pause_ms, Timer::SendReport);
             }
@@ -258,7 +258,7 @@
         };
         self.held.push(Held { session, call, proxy });
         hosts.timer(self.node(), HOLD_MS, Timer::HoldOver(call));
-        if self.core.confirmation_wanted().is_some() {
+        if self.core.pending_confirmation().is_some() {
             self.send_report(hosts);
         }
         self.answer_held(hosts);
