--- a/crates/proxy/src/observe.rs
+++ b/crates/proxy/src/observe.rs
@@ -1,4 +1,4 @@
-//! Reports backends that announced that they are leaving to a relay.
+//! Reports to a relay which backends have announced that they are leaving.
 
 use crate::runtime::Shared;
 use endpoints::LeavingMark;
--- a/crates/relay/src/claim_forward.rs
+++ b/crates/relay/src/claim_forward.rs
@@ -1,4 +1,4 @@
-//! Passing claims on to the leader of their group.
+//! Forwards claim commands to the leader of their claim group.
 
 use claims::group_of;
 use settings::{ControlAddressSettings, RelaySettings};
@@ -13,16 +13,18 @@
     connect, ClaimReply, ClaimRequest, ClientConnection, Purpose, Role, TlsIdentity, WireError,
 };
 
-/// Longest time for one claim, changes of leader included.
-const FORWARD_LIMIT: Duration = Duration::from_secs(2);
+/// Maximum time for one command, including retries after leader changes.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-const RETRY_PAUSE: Duration = Duration::from_millis(15);
+const RETRY_DELAY: Duration = Duration::from_millis(15);
 
-/// Connections to control replicas, and who leads which group.
+/// Forwards claim commands over pooled connections to the control replicas.
 pub(crate) struct ClaimForwarder {
     replicas: Vec<ControlAddressSettings>,
     groups: u32,
+    /// Index of the replica that was last known to lead each group.
     leaders: Mutex<BTreeMap<u32, usize>>,
+    /// Idle connections by replica.
     idle: Mutex<BTreeMap<usize, Vec<ClientConnection>>>,
 }
 
@@ -36,27 +38,27 @@
         }
     }
 
-    /// Asks until the group's leader answers or time is over. Commands carry the attempt they
-    /// belong to, so sending one twice is harmless.
+    /// Forwards a command, and retries until the leader of the group has answered or the time limit
+    /// is reached. Commands contain the id of their attempt, so sending one twice is harmless.
     pub fn forward(&self, tls: &TlsIdentity, request: ClaimRequest) -> ClaimReply {
         if self.groups == 0 {
             return ClaimReply::Unavailable { verdict: Verdict::NotRun };
         }
         let group = group_of(request.command.key(), self.groups);
-        let deadline = BootInstant::now() + FORWARD_LIMIT;
+        let deadline = BootInstant::now() + FORWARD_TIMEOUT;
         let mut verdict = Verdict::NotRun;
         while BootInstant::now() < deadline {
             let replica = self.leader(group);
             match self.call(tls, replica, &request) {
                 Ok(ClaimReply::NotLeader { leader }) => self.redirect(group, replica, leader),
                 Ok(ClaimReply::Unavailable { verdict: reason }) => {
-                    verdict = worst(verdict, reason);
+                    verdict = worst_verdict(verdict, reason);
                     self.redirect(group, replica, None);
                 }
                 Ok(answer) => return answer,
                 Err(error) => {
                     debug!(%error, group, "claim_forward_failed");
-                    verdict = worst(verdict, error.verdict());
+                    verdict = worst_verdict(verdict, error.verdict());
                     self.redirect(group, replica, None);
                 }
             }
@@ -69,12 +71,12 @@
         leaders.get(&group).copied().unwrap_or(group as usize % self.replicas.len())
     }
 
-    fn redirect(&self, group: u32, asked: usize, leader: Option<u64>) {
-        let named = self.replicas.iter().position(|replica| Some(replica.id) == leader);
-        let next = named.unwrap_or((asked + 1) % self.replicas.len());
+    fn redirect(&self, group: u32, tried: usize, leader: Option<u64>) {
+        let leader_position = self.replicas.iter().position(|replica| Some(replica.id) == leader);
+        let next = leader_position.unwrap_or((tried + 1) % self.replicas.len());
         self.leaders.lock().unwrap_or_else(PoisonError::into_inner).insert(group, next);
-        if named.is_none() {
-            thread::sleep(RETRY_PAUSE);
+        if leader_position.is_none() {
+            thread::sleep(RETRY_DELAY);
         }
     }
 
@@ -101,8 +103,8 @@
     }
 }
 
-fn worst(known: Verdict, new: Verdict) -> Verdict {
-    match (known, new) {
+fn worst_verdict(previous: Verdict, new: Verdict) -> Verdict {
+    match (previous, new) {
         (Verdict::NotRun, Verdict::NotRun) => Verdict::NotRun,
         _ => Verdict::MayHaveRun,
     }
--- a/crates/relay/src/control_link.rs
+++ b/crates/relay/src/control_link.rs
@@ -1,4 +1,4 @@
-//! The relay's two conversations with control: watching targets, and reporting.
+//! The relay's two connections to control: one to watch for new views, one to send reports.
 
 use crate::runtime::Shared;
 use settings::ControlAddressSettings;
@@ -13,18 +13,18 @@
     WatchReply, WireError,
 };
 
-/// Longest wait for an answer: control's holding time and some slack. A frozen leader is left
-/// after this time.
+/// Maximum wait for a watch reply: control's hold time plus a margin. The relay leaves an
+/// unresponsive leader after this time.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_200);
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Reports without a change, so that control knows the relay is alive.
-const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest time between two reports, so that acknowledgements are gathered.
-const REPORT_GAP: Duration = Duration::from_millis(10);
+/// Maximum time between reports; without changes, they tell control that the relay is alive.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between two reports, so that acknowledgements are batched.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_CAP_MS: u64 = 400;
 
-/// A connection to the leader, wherever it is now.
+/// Connection to the control leader, which follows leader changes.
 struct ControlLink {
     replicas: Vec<ControlAddressSettings>,
     current: usize,
@@ -54,16 +54,16 @@
             Some(connection) => connection,
             None => connect(tls, self.replicas[self.current].address, Role::Control, self.purpose)?,
         };
-        let answer = connection.call(request, timeout)?;
+        let reply = connection.call(request, timeout)?;
         self.connection = Some(connection);
-        Ok(answer)
+        Ok(reply)
     }
 
-    /// Goes to the leader named, or to the next replica after a pause.
+    /// Switches to the given leader, or to the next replica after a delay.
     fn redirect(&mut self, leader: Option<u64>) {
         self.connection = None;
-        let named = self.replicas.iter().position(|replica| Some(replica.id) == leader);
-        match named {
+        let leader_position = self.replicas.iter().position(|replica| Some(replica.id) == leader);
+        match leader_position {
             Some(position) if position != self.current => self.current = position,
             _ => {
                 self.current = (self.current + 1) % self.replicas.len();
@@ -72,17 +72,17 @@
         }
     }
 
-    fn succeeded(&mut self) {
+    fn reset_backoff(&mut self) {
         self.backoff.reset();
     }
 }
 
-/// Starts both conversations.
+/// Starts the watching and the reporting thread.
 pub(crate) fn spawn(shared: &Arc<Shared>) {
-    let watcher = shared.clone();
-    thread::spawn(move || watch(&watcher));
-    let reporter = shared.clone();
-    thread::spawn(move || report(&reporter));
+    let watch_shared = shared.clone();
+    thread::spawn(move || watch(&watch_shared));
+    let report_shared = shared.clone();
+    thread::spawn(move || report(&report_shared));
 }
 
 fn watch(shared: &Shared) {
@@ -95,8 +95,8 @@
                 thread::sleep(Duration::from_millis(u64::from(retry_after_ms)));
             }
             Ok(reply) => {
-                link.succeeded();
-                take_view(shared, reply);
+                link.reset_backoff();
+                handle_watch_reply(shared, reply);
             }
             Err(error) => {
                 debug!(%error, "control_watch_failed");
@@ -106,7 +106,7 @@
     }
 }
 
-fn take_view(shared: &Shared, reply: WatchReply) {
+fn handle_watch_reply(shared: &Shared, reply: WatchReply) {
     let mut locked = shared.lock();
     if !locked.core.on_watch_reply(reply, shared.clock.now_ms()) {
         return;
@@ -115,7 +115,7 @@
     shared.metrics.generation.set(generation as i64);
     shared.report_changed(&mut locked);
     drop(locked);
-    shared.news.notify_all();
+    shared.update_available.notify_all();
     info!(generation, "view_adopted");
 }
 
@@ -123,14 +123,14 @@
     let mut link = ControlLink::new(&shared.settings.control, Purpose::RelayReport);
     let mut reported_version = 0;
     while !shared.stop.is_set() {
-        let (request, ticket, version) = next_report(shared, reported_version);
+        let (request, ticket, version) = wait_for_report(shared, reported_version);
         match link.call(&shared.tls, &request, REPORT_TIMEOUT) {
             Ok(ReportReply::Done { confirmed_revision }) => {
-                link.succeeded();
+                link.reset_backoff();
                 reported_version = version;
                 if let (Some(ticket), Some(revision)) = (ticket, confirmed_revision) {
                     shared.lock().core.on_confirmed(ticket, revision);
-                    shared.news.notify_all();
+                    shared.update_available.notify_all();
                 }
             }
             Ok(ReportReply::NotLeader { leader }) => link.redirect(leader),
@@ -139,27 +139,30 @@
                 link.redirect(None);
             }
         }
-        thread::sleep(REPORT_GAP);
+        thread::sleep(MIN_REPORT_INTERVAL);
     }
 }
 
-type NextReport = (ReportRequest, Option<crate::confirmation::Ticket>, u64);
+type PendingReport = (ReportRequest, Option<crate::confirmation::Ticket>, u64);
 
-/// Waits until there is something to report, or the interval is over.
-fn next_report(shared: &Shared, reported_version: u64) -> NextReport {
-    let deadline = BootInstant::now() + REPORT_INTERVAL;
+/// Waits until there is something to report or the interval has passed.
+fn wait_for_report(shared: &Shared, reported_version: u64) -> PendingReport {
+    let deadline = BootInstant::now() + MAX_REPORT_INTERVAL;
     let mut locked = shared.lock();
     loop {
-        // The ticket is taken before the request is sent, so that the read begins after it.
+        // The ticket is taken before the request is sent, so that the read begins after it was
+        // issued.
         let ticket = locked.core.pending_confirmation();
-        let left = deadline.saturating_duration_since(BootInstant::now());
+        let remaining = deadline.saturating_duration_since(BootInstant::now());
         let version = locked.report_version;
-        if ticket.is_some() || version != reported_version || left.is_zero() {
+        if ticket.is_some() || version != reported_version || remaining.is_zero() {
             let report = locked.core.report(shared.clock.now_ms());
             return (ReportRequest { report, confirm: ticket.is_some() }, ticket, version);
         }
-        let (guard, _) =
-            shared.reports.wait_timeout(locked, left).unwrap_or_else(PoisonError::into_inner);
+        let (guard, _) = shared
+            .report_changed_signal
+            .wait_timeout(locked, remaining)
+            .unwrap_or_else(PoisonError::into_inner);
         locked = guard;
     }
 }
--- a/crates/relay/src/core.rs
+++ b/crates/relay/src/core.rs
@@ -1,4 +1,4 @@
-//! The relay's decisions, without I/O.
+//! Decisions of a relay, without I/O.
 
 use crate::confirmation::{Confirmations, Ticket};
 use crate::history::BundleHistory;
@@ -13,43 +13,43 @@
     WatchReply, WatchRequest,
 };
 
-/// Digests named to control as possible bases.
-const MAX_BASES: usize = 8;
-/// Updates longer than this count as catch-ups, whose number is limited, bytes.
+/// Maximum number of digests sent to control as possible delta bases.
+const MAX_DELTA_BASES: usize = 8;
+/// Updates larger than this are catch-ups, whose number is limited; in bytes.
 const CATCH_UP_BYTES: usize = 4 * 1024;
-/// Shortest and longest time after which a proxy that was not admitted comes back, ms.
+/// Range of the random retry delay for proxies that were not admitted, in milliseconds.
 const RETRY_AFTER_MS: std::ops::RangeInclusive<u32> = 50..=500;
 
-/// Mechanisms that can be switched off, only to prove that the checks notice.
+/// Safety mechanisms that can be disabled to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayWeakness {
-    /// A starting proxy is served without confirmation by a quorum.
+    /// A proxy that starts without stored state is served without confirmation by a quorum.
     NoConfirmation,
-    /// A proxy that is ahead of this relay is sent the older target.
+    /// A proxy with a newer generation than its target is sent the older target.
     SendsOlder,
 }
 
 /// Fixed parameters of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayParameters {
-    /// Unique name.
+    /// Unique name of the relay.
     pub name: String,
-    /// Its zone.
+    /// Zone of the relay.
     pub zone: String,
-    /// Differs between starts.
+    /// Identifies this run of the relay; must differ between starts.
     pub epoch: u64,
-    /// A proxy not heard from for this long is unknown, milliseconds.
+    /// Time without contact after which a proxy is reported as unknown, in milliseconds.
     pub proxy_lease_ms: u64,
-    /// Large updates sent at once.
+    /// Maximum number of large updates sent at once.
     pub max_catch_ups: usize,
-    /// When a large loss of endpoints is believed.
+    /// Determines when a large loss of endpoints is accepted.
     pub guard: MassExpiryGuard,
-    /// Broken variant for checker tests; `None` in the product.
+    /// Disabled mechanism, for tests of the checks; `None` in production.
     pub weakness: Option<RelayWeakness>,
 }
 
-/// As many large updates as allowed are on their way.
-struct CatchUpsFull;
+/// The limit on large updates sent at once is reached.
+struct CatchUpLimitReached;
 
 /// State of a relay.
 #[derive(Clone, Debug)]
@@ -62,15 +62,17 @@
     next_session: u64,
     proxies: BTreeMap<String, KnownProxy>,
     confirmations: Confirmations,
-    source_heard_ms: Option<u64>,
-    /// Connected proxies by service, kept up to date session by session.
+    /// When the control leader last replied.
+    source_last_heard_ms: Option<u64>,
+    /// Number of connected proxies by service, updated incrementally as sessions change.
     own_subscribers: BTreeMap<String, u32>,
+    /// Number of proxies by service that each peer relay last reported.
     peer_subscribers: BTreeMap<String, Vec<(String, u32)>>,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl RelayCore {
-    /// A relay that knows nothing yet.
+    /// Creates a relay without a view and without endpoints.
     pub fn new(parameters: RelayParameters) -> Self {
         RelayCore {
             view: None,
@@ -80,25 +82,25 @@
             next_session: 1,
             proxies: BTreeMap::new(),
             confirmations: Confirmations::default(),
-            source_heard_ms: None,
+            source_last_heard_ms: None,
             own_subscribers: BTreeMap::new(),
             peer_subscribers: BTreeMap::new(),
-            random: fastrand::Rng::with_seed(parameters.epoch),
+            rng: fastrand::Rng::with_seed(parameters.epoch),
             parameters,
         }
     }
 
-    /// The view held; `None` until control was reached once.
+    /// Current view; `None` until control has sent one.
     pub fn view(&self) -> Option<&TargetView> {
         self.view.as_ref()
     }
 
-    /// The endpoint table.
+    /// Endpoint table.
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// The endpoint table, to merge news into.
+    /// Endpoint table, for merging changes into it.
     pub fn endpoints_mut(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
@@ -108,50 +110,50 @@
         self.sessions.len()
     }
 
-    // ---- towards control ----
+    // ---- control ----
 
-    /// What to ask control for.
+    /// Returns the next watch request for control.
     pub fn watch_request(&self) -> WatchRequest {
         let revision = self.view.as_ref().map_or(0, |view| view.revision);
-        let held = self.history.newest_first().take(MAX_BASES).copied().collect();
+        let held = self.history.newest_first().take(MAX_DELTA_BASES).copied().collect();
         WatchRequest { revision, held }
     }
 
-    /// Takes an answer of control in; true if there is news for proxies.
+    /// Handles a reply of control; returns whether there is an update for proxies.
     pub fn on_watch_reply(&mut self, reply: WatchReply, now_ms: u64) -> bool {
         match reply {
             WatchReply::Changed { view, updates } => {
-                self.source_heard_ms = Some(now_ms);
-                self.adopt(view, &updates)
+                self.source_last_heard_ms = Some(now_ms);
+                self.adopt_view(view, &updates)
             }
             WatchReply::Unchanged => {
-                self.source_heard_ms = Some(now_ms);
+                self.source_last_heard_ms = Some(now_ms);
                 false
             }
             WatchReply::NotLeader { .. } | WatchReply::Busy { .. } => false,
         }
     }
 
-    /// Takes over a newer view, if every bundle it names is there.
-    fn adopt(&mut self, view: TargetView, updates: &[BundleUpdate]) -> bool {
-        let held = self.view.as_ref().map(|view| view.revision);
-        if held.is_some_and(|revision| view.revision <= revision) {
+    /// Adopts a newer view if all bundles that it refers to are available.
+    fn adopt_view(&mut self, view: TargetView, updates: &[BundleUpdate]) -> bool {
+        let current_revision = self.view.as_ref().map(|view| view.revision);
+        if current_revision.is_some_and(|revision| view.revision <= revision) {
             return false;
         }
-        let in_use: Vec<Digest> = view.targets().map(|target| target.digest).collect();
+        let used_digests: Vec<Digest> = view.targets().map(|target| target.digest).collect();
         for update in updates {
-            if let Some(bundle) = self.rebuild(update) {
-                self.history.insert(bundle, &in_use);
+            if let Some(bundle) = self.build_bundle(update) {
+                self.history.insert(bundle, &used_digests);
             }
         }
-        let complete = in_use.iter().all(|digest| self.history.get(digest).is_some());
+        let complete = used_digests.iter().all(|digest| self.history.get(digest).is_some());
         if complete {
             self.view = Some(view);
         }
         complete
     }
 
-    fn rebuild(&self, update: &BundleUpdate) -> Option<bundle::Bundle> {
+    fn build_bundle(&self, update: &BundleUpdate) -> Option<bundle::Bundle> {
         let empty = bundle::Bundle::default();
         let base = match update {
             BundleUpdate::Delta(delta) => self.history.get(&delta.base)?,
@@ -160,7 +162,7 @@
         update.apply(base).ok()
     }
 
-    /// The aggregated state of this relay's proxies.
+    /// Aggregates the state of this relay's proxies for control.
     pub fn report(&mut self, now_ms: u64) -> RelayReport {
         let empty = TargetView::empty();
         let view = self.view.as_ref().unwrap_or(&empty);
@@ -169,54 +171,54 @@
         build_report(name, zone, view, &mut self.proxies, parameters.proxy_lease_ms, now_ms)
     }
 
-    /// Whether a confirmed read is wanted; taken before the read is sent.
+    /// Ticket for which a confirmed read is needed, if any; must be called before the read is sent.
     pub fn pending_confirmation(&self) -> Option<Ticket> {
-        self.confirmations.wanted()
+        self.confirmations.pending()
     }
 
-    /// A read that began after `ticket` was taken returned `revision`.
+    /// Handles a confirmed read that began after `ticket` was issued and returned `revision`.
     pub fn on_confirmed(&mut self, ticket: Ticket, revision: u64) {
         self.confirmations.confirm(ticket, revision);
     }
 
-    /// Time since control's leader was last heard from, milliseconds.
+    /// Time since the control leader last replied, in milliseconds; `u32::MAX` if it never did.
     pub fn source_age_ms(&self, now_ms: u64) -> u32 {
-        let age = self.source_heard_ms.map(|heard| now_ms.saturating_sub(heard));
+        let age = self.source_last_heard_ms.map(|last_heard| now_ms.saturating_sub(last_heard));
         age.map_or(u32::MAX, |age| u32::try_from(age).unwrap_or(u32::MAX))
     }
 
-    // ---- towards proxies ----
+    // ---- proxies ----
 
-    /// A proxy connected.
+    /// Opens a session for a proxy that has connected.
     pub fn open_session(&mut self, state: &ProxyState, now_ms: u64) -> SessionId {
         let id = SessionId(self.next_session);
         self.next_session += 1;
         let ticket = state.generation.is_none().then(|| self.confirmations.issue());
         let session = Session::new(state, ticket, now_ms);
-        self.note_proxy(&session);
+        self.record_proxy(&session);
         self.count_subscriptions(&session.services, 1);
         self.sessions.insert(id, session);
         self.refresh_subscribers();
         id
     }
 
-    /// A proxy's next request arrived.
+    /// Handles the next request of a proxy.
     pub fn on_poll(&mut self, id: SessionId, poll: &ProxyPoll, now_ms: u64) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let earlier = session.services.clone();
+        let previous_services = session.services.clone();
         session.on_poll(poll, now_ms);
         let session = session.clone();
-        self.note_proxy(&session);
-        if session.services != earlier {
-            self.count_subscriptions(&earlier, -1);
+        self.record_proxy(&session);
+        if session.services != previous_services {
+            self.count_subscriptions(&previous_services, -1);
             self.count_subscriptions(&session.services, 1);
             self.refresh_subscribers();
         }
     }
 
-    /// A proxy's connection ended.
+    /// Closes the session of a proxy whose connection has ended.
     pub fn close_session(&mut self, id: SessionId) {
         if let Some(session) = self.sessions.remove(&id) {
             self.count_subscriptions(&session.services, -1);
@@ -231,7 +233,7 @@
         }
     }
 
-    fn note_proxy(&mut self, session: &Session) {
+    fn record_proxy(&mut self, session: &Session) {
         let known = KnownProxy {
             name: session.name.clone(),
             generation: session.position.generation,
@@ -241,7 +243,8 @@
         self.proxies.insert(session.name.id.clone(), known);
     }
 
-    /// The answer to a proxy's request, or `None` to hold it until there is news.
+    /// Returns the reply to a proxy's request, or `None` to hold the request until there is an
+    /// update.
     pub fn answer(&mut self, id: SessionId, now_ms: u64) -> Option<ProxyReply> {
         let source_age_ms = self.source_age_ms(now_ms);
         if self.view.is_none() {
@@ -250,11 +253,11 @@
         let session = self.sessions.get(&id)?.clone();
         let config = match self.config_for(&session) {
             Ok(config) => config,
-            Err(CatchUpsFull) => return Some(self.busy()),
+            Err(CatchUpLimitReached) => return Some(self.busy()),
         };
-        // Until a starting proxy has its configuration it has no routes to use endpoints for.
-        let waits = config.is_none() && session.position.generation.is_none();
-        let endpoints = if waits { None } else { self.endpoints_for(&session) };
+        // A proxy without a configuration has no routes that use endpoints.
+        let awaits_config = config.is_none() && session.position.generation.is_none();
+        let endpoints = if awaits_config { None } else { self.endpoints_for(&session) };
         if config.is_none() && endpoints.is_none() {
             return None;
         }
@@ -267,23 +270,26 @@
         Some(reply)
     }
 
-    /// The answer when the holding time is over.
+    /// Returns the reply to a held request when the hold time is over.
     pub fn unchanged(&self, now_ms: u64) -> ProxyReply {
         ProxyReply::Unchanged { source_age_ms: self.source_age_ms(now_ms) }
     }
 
     fn busy(&mut self) -> ProxyReply {
-        ProxyReply::Busy { retry_after_ms: self.random.u32(RETRY_AFTER_MS) }
+        ProxyReply::Busy { retry_after_ms: self.rng.u32(RETRY_AFTER_MS) }
     }
 
-    fn config_for(&mut self, session: &Session) -> Result<Option<ConfigUpdate>, CatchUpsFull> {
+    fn config_for(
+        &mut self,
+        session: &Session,
+    ) -> Result<Option<ConfigUpdate>, CatchUpLimitReached> {
         let Some(view) = &self.view else {
             return Ok(None);
         };
         let target = view.target_for(&session.name).clone();
         let sends_older = self.parameters.weakness == Some(RelayWeakness::SendsOlder);
-        let behind = session.position.generation.is_none_or(|held| {
-            held < target.generation || (sends_older && held != target.generation)
+        let behind = session.position.generation.is_none_or(|current| {
+            current < target.generation || (sends_older && current != target.generation)
         });
         let refused =
             session.refused.as_ref().is_some_and(|refused| refused.generation == target.generation);
@@ -294,8 +300,8 @@
         let Some(update) = self.history.update(&session.position.digest, &target.digest) else {
             return Ok(None);
         };
-        if is_large(&update) && self.catch_ups() >= self.parameters.max_catch_ups {
-            return Err(CatchUpsFull);
+        if is_large(&update) && self.catch_up_count() >= self.parameters.max_catch_ups {
+            return Err(CatchUpLimitReached);
         }
         Ok(Some(ConfigUpdate {
             generation: target.generation,
@@ -309,12 +315,12 @@
         if self.parameters.weakness == Some(RelayWeakness::NoConfirmation) {
             return true;
         }
-        let needs = session.position.generation.is_none();
+        let needs_confirmation = session.position.generation.is_none();
         let covered = |ticket| self.confirmations.covers(ticket, revision);
-        !needs || session.ticket.is_some_and(covered)
+        !needs_confirmation || session.ticket.is_some_and(covered)
     }
 
-    fn catch_ups(&self) -> usize {
+    fn catch_up_count(&self) -> usize {
         self.sessions.values().filter(|session| session.catching_up).count()
     }
 
@@ -324,25 +330,26 @@
         self.endpoints.update_since(epoch, sequence, &session.services)
     }
 
-    // ---- towards other relays ----
+    // ---- other relays ----
 
-    /// Takes in that back ends leave; returns how many of the marks were news.
+    /// Marks backends as leaving; returns how many of the marks were new.
     pub fn observe_leaving(&mut self, marks: Vec<LeavingMark>) -> u32 {
         marks.into_iter().map(|mark| u32::from(self.endpoints.mark_leaving(mark))).sum()
     }
 
-    /// Answers a peer, or `None` to hold its request until there are marks.
+    /// Returns the reply to a peer relay, or `None` to hold the request until there are marks.
     pub fn answer_mirror(&self, request: &MirrorRequest) -> Option<MirrorReply> {
-        let known = request.epoch == self.endpoints.epoch();
-        let since = if known { request.sequence } else { 0 };
+        let same_epoch = request.epoch == self.endpoints.epoch();
+        let since = if same_epoch { request.sequence } else { 0 };
         let marks = self.endpoints.marks_since(since);
-        if known && marks.is_empty() {
+        if same_epoch && marks.is_empty() {
             return None;
         }
         Some(self.mirror_reply(marks))
     }
 
-    /// What a peer gets when the holding time is over.
+    /// Builds a reply to a peer relay with the given marks; there are none when the hold time is
+    /// over.
     pub fn mirror_reply(&self, marks: Vec<LeavingMark>) -> MirrorReply {
         MirrorReply {
             epoch: self.endpoints.epoch(),
@@ -352,7 +359,7 @@
         }
     }
 
-    /// Takes a peer's answer in; true if there is news for proxies.
+    /// Handles a reply of a peer relay; returns whether there is an update for proxies.
     pub fn on_mirror_reply(&mut self, peer: &str, reply: MirrorReply) -> bool {
         let before = self.endpoints.sequence();
         self.observe_leaving(reply.marks);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! The relay: takes the configuration from control and the endpoints from the platform, and
-//! serves the proxies of its zone.
+//! The relay: receives the configuration from control and the endpoints from the platform, and
+//! serves both to the proxies of its zone.
 //!
-//! [`RelayCore`] decides everything and does no I/O; [`run`] gives it sockets, threads and a
-//! clock. The simulator drives the same core.
+//! [`RelayCore`] makes all decisions and performs no I/O; [`run`] adds sockets, threads and a clock.
+//! The simulator runs the same core.
 #![forbid(unsafe_code)]
 
 mod claim_forward;
--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list of machines.
+//! Polls the platform's list of machines.
 
 use crate::runtime::Shared;
 use endpoints::{Endpoint, EndpointKey, EndpointState};
@@ -11,54 +11,54 @@
 use tracing::{debug, info};
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list accepted, bytes.
+/// Maximum size of the list, in bytes.
 const MAX_LIST_BYTES: u64 = 16 * 1024 * 1024;
 
-/// The list could not be read.
+/// Error while reading the list of machines.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The platform did not answer.
-    #[snafu(display("the platform's list was not answered: {source}"))]
+    /// The request to the platform failed.
+    #[snafu(display("cannot fetch the platform's list of machines: {source}"))]
     Request {
-        /// Cause.
+        /// Underlying error.
         source: Box<ureq::Error>,
     },
-    /// The answer is not the expected JSON.
-    #[snafu(display("the platform's list cannot be read: {source}"))]
+    /// The response is not the expected JSON.
+    #[snafu(display("cannot parse the platform's list of machines: {source}"))]
     Content {
-        /// Cause.
+        /// Underlying error.
         source: serde_json::Error,
     },
 }
 
-/// What the platform says of a machine.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Live.
+    /// The machine is live.
     Live,
-    /// About to go.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// One line of the platform's list.
+/// One entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Machine {
-    /// Service its back end belongs to.
+    /// Service of the machine's backend.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// Rises with every start.
+    /// Increases with every start of the backend.
     pub incarnation: u64,
-    /// Live or leaving.
+    /// State of the machine.
     pub state: MachineState,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its region.
+    /// Region of the machine.
     pub region: String,
 }
 
-/// Reads the JSON list.
+/// Parses the JSON list.
 pub fn parse_machines(text: &str) -> Result<Vec<Endpoint>, PlatformError> {
     let machines: Vec<Machine> = serde_json::from_str(text).context(ContentSnafu)?;
     Ok(machines.into_iter().map(to_endpoint).collect())
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads the list again and again; a reading that fails changes nothing.
+/// Starts a thread that polls the list; a failed reading changes nothing.
 pub(crate) fn spawn(shared: &Arc<Shared>) {
     let shared = shared.clone();
     thread::spawn(move || {
@@ -86,7 +86,7 @@
         let interval = Duration::from_millis(shared.settings.platform_poll_ms);
         while !shared.stop.is_set() {
             match fetch(&agent, &shared.settings.platform_url, &mut version) {
-                Ok(Some(listed)) => merge(&shared, &listed),
+                Ok(Some(listed)) => merge_list(&shared, &listed),
                 Ok(None) => {}
                 Err(error) => debug!(%error, "platform_list_failed"),
             }
@@ -104,27 +104,27 @@
     config.into()
 }
 
-/// Reads the list; `None` if it is the one of `version`.
+/// Fetches the list; `None` if it is unchanged since `version`, which is updated otherwise.
 fn fetch(
     agent: &ureq::Agent,
     url: &str,
     version: &mut String,
 ) -> Result<Option<Vec<Endpoint>>, PlatformError> {
-    let boxed = |source| PlatformError::Request { source: Box::new(source) };
-    let mut answer =
-        agent.get(url).header("If-None-Match", version.as_str()).call().map_err(boxed)?;
-    if answer.status() == 304 {
+    let request_error = |source| PlatformError::Request { source: Box::new(source) };
+    let mut response =
+        agent.get(url).header("If-None-Match", version.as_str()).call().map_err(request_error)?;
+    if response.status() == 304 {
         return Ok(None);
     }
-    let tag = answer.headers().get("ETag").and_then(|tag| tag.to_str().ok());
-    let tag = tag.unwrap_or_default().to_owned();
-    let text = answer.body_mut().with_config().limit(MAX_LIST_BYTES).read_to_string();
-    let listed = parse_machines(&text.map_err(boxed)?)?;
-    *version = tag;
+    let etag = response.headers().get("ETag").and_then(|etag| etag.to_str().ok());
+    let etag = etag.unwrap_or_default().to_owned();
+    let text = response.body_mut().with_config().limit(MAX_LIST_BYTES).read_to_string();
+    let listed = parse_machines(&text.map_err(request_error)?)?;
+    *version = etag;
     Ok(Some(listed))
 }
 
-fn merge(shared: &Shared, listed: &[Endpoint]) {
+fn merge_list(shared: &Shared, listed: &[Endpoint]) {
     let mut locked = shared.lock();
     let table = locked.core.endpoints_mut();
     let before = table.sequence();
@@ -133,7 +133,7 @@
     let count = table.len();
     drop(locked);
     if changed {
-        shared.news.notify_all();
+        shared.update_available.notify_all();
         info!(endpoints = count, "endpoints_changed");
     }
 }
--- a/crates/relay/src/runtime.rs
+++ b/crates/relay/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Threads and sockets around [`RelayCore`].
+//! Runs a [`RelayCore`] with sockets, threads and a clock.
 
 use crate::claim_forward::ClaimForwarder;
 use crate::{control_link, mirror, platform, serve, RelayCore, RelayParameters};
@@ -13,46 +13,45 @@
 use tracing::{info, warn};
 use wire::{Identity, Purpose, Role, Server, ServerError, TlsError, TlsFiles, TlsIdentity};
 
-/// How often certificates are looked at for changes.
-/// Longest wait for proxies to go elsewhere on a planned stop.
+/// On a planned stop, maximum wait for proxies to move to other relays.
 const STOP_LIMIT: Duration = Duration::from_secs(3);
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A relay could not start.
+/// Error that prevents a relay from starting.
 #[derive(Debug, Snafu)]
 pub enum RelayError {
-    /// Certificates.
+    /// The TLS files could not be loaded.
     #[snafu(display("{source}"))]
     Tls {
-        /// Cause.
+        /// Underlying error.
         source: TlsError,
     },
-    /// The certificate is another process's.
-    #[snafu(display("the certificate is for {found}, the settings for relay {expected}"))]
+    /// The certificate was issued for another role, name or zone.
+    #[snafu(display("the certificate is for {found}, but the settings require relay {expected}"))]
     WrongCertificate {
-        /// Role and name in the certificate.
+        /// Role, name and zone in the certificate.
         found: String,
-        /// Name in the settings.
+        /// Name and zone in the settings.
         expected: String,
     },
-    /// Address for proxies.
+    /// The address for proxies could not be bound.
     #[snafu(display("{source}"))]
     Listen {
-        /// Cause.
+        /// Underlying error.
         source: ServerError,
     },
-    /// Address for metrics.
+    /// The metrics server could not be started.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Cause.
+        /// Underlying error.
         source: MetricsServerError,
     },
 }
 
-/// What the lock protects.
-pub(crate) struct Locked {
+/// State protected by the lock.
+pub(crate) struct LockedState {
     pub core: RelayCore,
-    /// Rises when the report to control changed.
+    /// Increases whenever the report to control changes.
     pub report_version: u64,
 }
 
@@ -60,14 +59,14 @@
 pub(crate) struct RelayMetrics {
     pub proxy_sent_bytes: Counter,
     pub proxy_received_bytes: Counter,
-    pub deltas: Counter,
-    pub snapshots: Counter,
-    pub turned_away: Counter,
+    pub deltas_sent: Counter,
+    pub snapshots_sent: Counter,
+    pub rejected_proxies: Counter,
     pub sessions: Gauge,
     pub generation: Gauge,
 }
 
-/// Everything the threads of one relay share.
+/// State shared by the threads of a relay.
 pub(crate) struct Shared {
     pub settings: RelaySettings,
     pub tls: Arc<TlsIdentity>,
@@ -75,35 +74,35 @@
     pub stop: StopSignal,
     pub metrics: RelayMetrics,
     pub claims: ClaimForwarder,
-    locked: Mutex<Locked>,
-    /// Wakes held requests of proxies and peers.
-    pub news: Condvar,
-    /// Wakes the reporter.
-    pub reports: Condvar,
+    locked: Mutex<LockedState>,
+    /// Wakes the held requests of proxies and peers when there is an update.
+    pub update_available: Condvar,
+    /// Wakes the reporting thread.
+    pub report_changed_signal: Condvar,
 }
 
 impl Shared {
-    pub fn lock(&self) -> MutexGuard<'_, Locked> {
+    pub fn lock(&self) -> MutexGuard<'_, LockedState> {
         self.locked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the reporter that acknowledgements changed.
-    pub fn report_changed(&self, locked: &mut Locked) {
+    /// Notifies the reporting thread that the report has changed.
+    pub fn report_changed(&self, locked: &mut LockedState) {
         locked.report_version += 1;
-        self.reports.notify_one();
+        self.report_changed_signal.notify_one();
     }
 }
 
-/// A relay that runs in threads of its own.
+/// A relay running on background threads.
 pub struct RunningRelay {
     shared: Arc<Shared>,
-    /// Address in use for proxies.
+    /// Bound address for proxies and other relays.
     pub address: SocketAddr,
-    /// Address in use for metrics.
+    /// Bound address of the metrics server.
     pub metrics_address: SocketAddr,
 }
 
-/// Starts a relay.
+/// Starts a relay on background threads.
 pub fn run(settings: RelaySettings, stop: StopSignal) -> Result<RunningRelay, RelayError> {
     let files = TlsFiles {
         authority: settings.tls.authority.clone(),
@@ -129,9 +128,9 @@
         clock: Clock::default(),
         stop,
         metrics: metrics(&registry),
-        locked: Mutex::new(Locked { core: RelayCore::new(parameters), report_version: 0 }),
-        news: Condvar::new(),
-        reports: Condvar::new(),
+        locked: Mutex::new(LockedState { core: RelayCore::new(parameters), report_version: 0 }),
+        update_available: Condvar::new(),
+        report_changed_signal: Condvar::new(),
         settings,
     });
     let metrics_address = serve_metrics(&shared, registry)?;
@@ -160,21 +159,22 @@
         proxy_sent_bytes: registry.counter("relay_proxy_sent_bytes", "Frames sent to proxies"),
         proxy_received_bytes: registry
             .counter("relay_proxy_received_bytes", "Frames received from proxies"),
-        deltas: registry.counter("relay_deltas_sent", "Configuration deltas sent to proxies"),
-        snapshots: registry.counter("relay_snapshots_sent", "Whole bundles sent to proxies"),
-        turned_away: registry.counter("relay_proxies_turned_away", "Proxies told to come back"),
+        deltas_sent: registry.counter("relay_deltas_sent", "Configuration deltas sent to proxies"),
+        snapshots_sent: registry.counter("relay_snapshots_sent", "Whole bundles sent to proxies"),
+        rejected_proxies: registry
+            .counter("relay_proxies_turned_away", "Proxies told to come back"),
         sessions: registry.gauge("relay_sessions", "Connected proxies"),
         generation: registry.gauge("relay_newest_generation", "Newest generation held"),
     }
 }
 
 fn serve_metrics(shared: &Arc<Shared>, registry: Registry) -> Result<SocketAddr, RelayError> {
-    let for_ready = shared.clone();
-    let for_status = shared.clone();
+    let ready_shared = shared.clone();
+    let status_shared = shared.clone();
     let server = MetricsServer {
         registry,
-        ready: Box::new(move || readiness(&for_ready)),
-        status: Box::new(move || status(&for_status)),
+        ready: Box::new(move || readiness(&ready_shared)),
+        status: Box::new(move || status(&status_shared)),
     };
     server.run(shared.settings.metrics_listen).context(MetricsSnafu)
 }
@@ -186,7 +186,7 @@
     let locked = shared.lock();
     match locked.core.view() {
         Some(_) => Ok(()),
-        None => Err("control was not reached yet".to_owned()),
+        None => Err("control has not been reached yet".to_owned()),
     }
 }
 
@@ -210,16 +210,16 @@
 }
 
 fn serve_connections(shared: &Arc<Shared>) -> Result<SocketAddr, RelayError> {
-    let most = shared.settings.max_connections as usize;
-    let server = Server::bind(shared.settings.listen, most).context(ListenSnafu)?;
+    let max_connections = shared.settings.max_connections as usize;
+    let server = Server::bind(shared.settings.listen, max_connections).context(ListenSnafu)?;
     let address = server.address();
-    let for_handler = shared.clone();
+    let handler_shared = shared.clone();
     server.run(
         shared.tls.clone(),
         shared.stop.flag(),
         Arc::new(is_allowed),
         Arc::new(|error| warn!(%error, "connection_refused")),
-        Arc::new(move |connection| serve::serve(&for_handler, connection)),
+        Arc::new(move |connection| serve::serve(&handler_shared, connection)),
     );
     Ok(address)
 }
@@ -233,15 +233,16 @@
 }
 
 impl RunningRelay {
-    /// Waits for the stop signal, then sends the proxies elsewhere and returns.
+    /// Waits for the stop signal, tells proxies to connect to other relays and returns when they have
+    /// disconnected or a time limit is reached.
     pub fn wait(&self) {
         self.shared.stop.wait();
         info!("relay_stopping");
-        self.shared.news.notify_all();
+        self.shared.update_available.notify_all();
         let mut waited = Duration::ZERO;
         while self.shared.lock().core.session_count() > 0 && waited < STOP_LIMIT {
-            thread::sleep(STOP_POLL);
-            waited += STOP_POLL;
+            thread::sleep(STOP_POLL_INTERVAL);
+            waited += STOP_POLL_INTERVAL;
         }
         info!("relay_stopped");
     }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! Answering proxies and other relays, one thread per connection.
+//! Serves connections from proxies and other relays, with one thread per connection.
 
 use crate::runtime::Shared;
 use bundle::BundleUpdate;
@@ -11,12 +11,13 @@
     Purpose, ServerConnection, WireError,
 };
 
-/// Longest time between two requests on a connection; a proxy asks again at once.
+/// Maximum time between a reply and the next request on a connection; a proxy sends its next
+/// request immediately.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time a peer's request for marks is held.
+/// Maximum time for which a peer's request is held until there are new marks.
 const MIRROR_HOLD: Duration = Duration::from_secs(1);
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub(crate) fn serve(shared: &Arc<Shared>, mut connection: ServerConnection) {
     let result = match connection.purpose() {
         Purpose::ProxyWatch => serve_watch(shared, &mut connection),
@@ -46,7 +47,7 @@
         shared.report_changed(&mut locked);
         session
     };
-    let result = answer_polls(shared, connection, session);
+    let result = serve_polls(shared, connection, session);
     let mut locked = shared.lock();
     locked.core.close_session(session);
     shared.metrics.sessions.set(locked.core.session_count() as i64);
@@ -54,13 +55,13 @@
     result
 }
 
-fn answer_polls(
+fn serve_polls(
     shared: &Shared,
     connection: &mut ServerConnection,
     session: crate::SessionId,
 ) -> Result<(), WireError> {
     loop {
-        let reply = wait_for_news(shared, session);
+        let reply = wait_for_reply(shared, session);
         count_reply(shared, &reply);
         connection.send(&reply)?;
         let (sent, received) = connection.take_byte_counts();
@@ -72,14 +73,14 @@
         let poll: ProxyPoll = connection.receive(REQUEST_TIMEOUT)?;
         let mut locked = shared.lock();
         locked.core.on_poll(session, &poll, shared.clock.now_ms());
-        let was_news = matches!(reply, ProxyReply::Update(_));
-        if was_news || matches!(poll, ProxyPoll::State(_)) {
+        let was_update = matches!(reply, ProxyReply::Update(_));
+        if was_update || matches!(poll, ProxyPoll::State(_)) {
             shared.report_changed(&mut locked);
         }
     }
 }
 
-fn wait_for_news(shared: &Shared, session: crate::SessionId) -> ProxyReply {
+fn wait_for_reply(shared: &Shared, session: crate::SessionId) -> ProxyReply {
     let deadline = BootInstant::now() + Duration::from_millis(shared.settings.hold_ms);
     let mut locked = shared.lock();
     loop {
@@ -90,12 +91,14 @@
         if let Some(reply) = locked.core.answer(session, now_ms) {
             return reply;
         }
-        let left = deadline.saturating_duration_since(BootInstant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(BootInstant::now());
+        if remaining.is_zero() {
             return locked.core.unchanged(now_ms);
         }
-        let (guard, _) =
-            shared.news.wait_timeout(locked, left).unwrap_or_else(PoisonError::into_inner);
+        let (guard, _) = shared
+            .update_available
+            .wait_timeout(locked, remaining)
+            .unwrap_or_else(PoisonError::into_inner);
         locked = guard;
     }
 }
@@ -103,14 +106,14 @@
 fn count_reply(shared: &Shared, reply: &ProxyReply) {
     match reply {
         ProxyReply::Busy { .. } => {
-            shared.metrics.turned_away.inc();
+            shared.metrics.rejected_proxies.inc();
         }
         ProxyReply::Update(update) => match update.config.as_ref().map(|config| &config.update) {
             Some(BundleUpdate::Delta(_)) => {
-                shared.metrics.deltas.inc();
+                shared.metrics.deltas_sent.inc();
             }
             Some(BundleUpdate::Snapshot { .. }) => {
-                shared.metrics.snapshots.inc();
+                shared.metrics.snapshots_sent.inc();
             }
             _ => {}
         },
@@ -121,11 +124,11 @@
 fn serve_observations(shared: &Shared, connection: &mut ServerConnection) -> Result<(), WireError> {
     loop {
         let observation: ProxyObservation = connection.receive(REQUEST_TIMEOUT)?;
-        let news = shared.lock().core.observe_leaving(observation.leaving);
-        if news > 0 {
-            shared.news.notify_all();
+        let new_marks = shared.lock().core.observe_leaving(observation.leaving);
+        if new_marks > 0 {
+            shared.update_available.notify_all();
         }
-        connection.send(&ObservationReply { new_marks: news })?;
+        connection.send(&ObservationReply { new_marks })?;
     }
 }
 
@@ -146,12 +149,14 @@
             if let Some(reply) = locked.core.answer_mirror(&request) {
                 break reply;
             }
-            let left = deadline.saturating_duration_since(BootInstant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(BootInstant::now());
+            if remaining.is_zero() {
                 break locked.core.mirror_reply(Vec::new());
             }
-            let (guard, _) =
-                shared.news.wait_timeout(locked, left).unwrap_or_else(PoisonError::into_inner);
+            let (guard, _) = shared
+                .update_available
+                .wait_timeout(locked, remaining)
+                .unwrap_or_else(PoisonError::into_inner);
             locked = guard;
         };
         drop(locked);
--- a/crates/relay/src/session.rs
+++ b/crates/relay/src/session.rs
@@ -1,4 +1,4 @@
-//! What a relay knows of one connected proxy.
+//! State of a connection from a proxy to a relay.
 
 use crate::confirmation::Ticket;
 use bundle::Digest;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub(crate) u64);
 
-/// Position of a proxy in configuration and endpoints.
+/// Configuration and endpoint position that a proxy has reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Position {
     pub generation: Option<u64>,
@@ -20,19 +20,20 @@
     pub endpoint_sequence: u64,
 }
 
-/// One connection of a proxy.
+/// State of one connection of a proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     pub name: ProxyName,
     pub position: Position,
     pub refused: Option<RefusedGeneration>,
-    /// Shared, because a session is copied for every answer.
+    /// Behind an `Arc` because a session is cloned for every reply.
     pub services: Arc<BTreeSet<String>>,
-    /// Held until a read that began after the first request is confirmed.
+    /// For a proxy that started without stored state: determines which confirmed reads began after
+    /// its first request.
     pub ticket: Option<Ticket>,
-    /// Where the proxy will be once it has applied the last answer.
-    pub sent: Option<Position>,
-    /// Whether the last answer holds one of the places for large updates.
+    /// Position of the proxy after it has applied the last reply.
+    pub sent_position: Option<Position>,
+    /// Whether the last reply was a large update, which counts towards the limit on them.
     pub catching_up: bool,
     pub last_heard_ms: u64,
 }
@@ -45,24 +46,25 @@
             refused: state.refused.clone(),
             services: Arc::new(state.services.iter().cloned().collect()),
             ticket,
-            sent: None,
+            sent_position: None,
             catching_up: false,
             last_heard_ms: now_ms,
         }
     }
 
-    /// Takes a request in: either everything sent was applied, or the proxy says where it is.
+    /// Handles a request: either the last reply was applied completely, or the proxy sends its full
+    /// state.
     pub fn on_poll(&mut self, poll: &ProxyPoll, now_ms: u64) {
         self.last_heard_ms = now_ms;
         self.catching_up = false;
         match poll {
             ProxyPoll::Applied => {
-                if let Some(sent) = self.sent.take() {
-                    self.position = sent;
+                if let Some(sent_position) = self.sent_position.take() {
+                    self.position = sent_position;
                 }
             }
             ProxyPoll::State(state) => {
-                self.sent = None;
+                self.sent_position = None;
                 self.position = Position::of(state);
                 self.refused = state.refused.clone();
                 self.services = Arc::new(state.services.iter().cloned().collect());
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Remembers what an answer will lead to.
+    /// Records the position that the proxy reaches by applying a reply.
     pub fn on_sent(&mut self, reply: &ProxyReply) {
         let ProxyReply::Update(update) = reply else {
             return;
@@ -84,7 +86,7 @@
             next.endpoint_epoch = endpoints.epoch;
             next.endpoint_sequence = endpoints.sequence;
         }
-        self.sent = Some(next);
+        self.sent_position = Some(next);
     }
 }
 
--- a/crates/relay/src/spread.rs
+++ b/crates/relay/src/spread.rs
@@ -1,15 +1,15 @@
-//! Aggregating the acknowledgements of a relay's proxies.
+//! Aggregates the acknowledgements of a relay's proxies into a report.
 
 use rollout::{Laggard, ProxyName, RelayReport, TargetView};
 use std::collections::BTreeMap;
 use wire::RefusedGeneration;
 
-/// Laggards named in one report.
+/// Maximum number of laggards listed in one report.
 const MAX_LAGGARDS: usize = 8;
-/// A proxy not heard from for this many leases is forgotten: it was replaced or moved.
-const FORGET_AFTER_LEASES: u64 = 20;
+/// Number of leases without contact after which a proxy is removed, since it was replaced or moved.
+const REMOVE_AFTER_LEASES: u64 = 20;
 
-/// Last known state of a proxy, connected or not.
+/// Last known state of a proxy, whether or not it is connected.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownProxy {
     pub name: ProxyName,
@@ -18,7 +18,7 @@
     pub last_heard_ms: u64,
 }
 
-/// Builds the report; forgets proxies that are long gone.
+/// Builds the report, and removes proxies without contact for [`REMOVE_AFTER_LEASES`].
 pub(crate) fn build_report(
     relay: &str,
     zone: &str,
@@ -28,7 +28,7 @@
     now_ms: u64,
 ) -> RelayReport {
     proxies.retain(|_, proxy| {
-        now_ms.saturating_sub(proxy.last_heard_ms) <= FORGET_AFTER_LEASES * lease_ms
+        now_ms.saturating_sub(proxy.last_heard_ms) <= REMOVE_AFTER_LEASES * lease_ms
     });
     let mut report =
         RelayReport { relay: relay.to_owned(), zone: zone.to_owned(), ..RelayReport::default() };
@@ -40,13 +40,13 @@
         }
         let generation = proxy.generation.unwrap_or(0);
         *by_generation.entry(generation).or_default() += 1;
-        count_proxy(&mut report, view, proxy, generation);
+        add_to_report(&mut report, view, proxy, generation);
     }
     report.by_generation = by_generation.into_iter().collect();
     report
 }
 
-fn count_proxy(report: &mut RelayReport, view: &TargetView, proxy: &KnownProxy, generation: u64) {
+fn add_to_report(report: &mut RelayReport, view: &TargetView, proxy: &KnownProxy, generation: u64) {
     let target = view.target_for(&proxy.name).generation;
     let staged = view.candidate.as_ref().is_some_and(|candidate| candidate.covers(&proxy.name));
     let behind = proxy.generation.is_none() || generation < target;
