--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -37,8 +37,7 @@
 /// Handles a call; every failure becomes a response with a verdict.
 pub(crate) fn handle(shared: &Shared, request: Request<Body>) -> Response<Vec<u8>> {
     let Some(_in_flight) = shared.calls.try_enter(shared.settings.max_calls) else {
-        let refusal =
-            Refusal::not_run(RefusalKind::Overloaded, "the limit on concurrent calls is reached");
+        let refusal = Refusal::not_run(RefusalKind::Overloaded, "too many calls at once");
         return refuse(shared, &refusal);
     };
     let table = shared.routing();
@@ -102,7 +101,7 @@
     request: &Request<Body>,
 ) -> Result<Arc<CompiledRoute>, Refusal> {
     if table.generation == 0 {
-        let message = "no configuration has been applied yet";
+        let message = "no configuration is in force yet";
         return Err(Refusal::not_run(RefusalKind::NotConfigured, message));
     }
     let host = request.headers().get("Host").and_then(|host| host.to_str().ok());
@@ -158,7 +157,7 @@
     let read = body.into_reader().take(max_bytes + 1).read_to_end(&mut bytes);
     read.map_err(|error| Refusal::not_run(RefusalKind::BadRequest, error))?;
     if bytes.len() as u64 > max_bytes {
-        let message = format!("the body exceeds the limit of {max_bytes} bytes");
+        let message = format!("at most {max_bytes} bytes are allowed");
         return Err(Refusal::not_run(RefusalKind::BodyTooLarge, message));
     }
     Ok(bytes)
@@ -242,10 +241,10 @@
 fn acquire_refusal(error: AcquireError, service: &str, verdict: Verdict) -> Refusal {
     let (kind, message) = match error {
         AcquireError::NoUpstream => {
-            (RefusalKind::NoUpstream, format!("service '{service}' has no untried live upstream"))
+            (RefusalKind::NoUpstream, format!("no live upstream of '{service}' is left to try"))
         }
         AcquireError::Overloaded => {
-            (RefusalKind::Overloaded, format!("all upstreams of service '{service}' are busy"))
+            (RefusalKind::Overloaded, format!("all upstreams of '{service}' are busy"))
         }
     };
     Refusal { kind, verdict, message }
--- a/crates/proxy/src/keyed.rs
+++ b/crates/proxy/src/keyed.rs
@@ -56,18 +56,18 @@
         ClaimAnswer::MayHaveRun => Err(Refusal {
             kind: RefusalKind::OutcomeUnknown,
             verdict: Verdict::MayHaveRun,
-            message: "an earlier attempt with this key may have run".to_owned(),
+            message: "an earlier try with this key may have run".to_owned(),
         }),
         ClaimAnswer::KeyReused => {
-            let message = "this key was already used for a different request";
+            let message = "this key was used for another request";
             Err(Refusal::not_run(RefusalKind::KeyReused, message))
         }
         ClaimAnswer::Full => {
-            let message = "the limit on idempotency keys is reached; the call was not sent";
+            let message = "no room for more keys; the call was not sent";
             Err(Refusal::not_run(RefusalKind::Overloaded, message))
         }
         ClaimAnswer::Abandoned | ClaimAnswer::Done => {
-            let message = "the claim was released before; the call was not sent";
+            let message = "the claim was given up; the call was not sent";
             Err(Refusal::not_run(RefusalKind::NoQuorum, message))
         }
     }
@@ -99,10 +99,7 @@
         return Err(Refusal {
             kind: RefusalKind::OutcomeNotKept,
             verdict: Verdict::Ran,
-            message: format!(
-                "the call ran with status {}; its response was not kept",
-                outcome.status
-            ),
+            message: format!("it ran with status {}; its answer was not kept", outcome.status),
         });
     };
     let mut headers = HeaderMap::new();
--- a/crates/proxy/src/runtime.rs
+++ b/crates/proxy/src/runtime.rs
@@ -165,7 +165,7 @@
 /// Returns why proxies do not support a bundle, even if it is valid.
 pub fn unsupported_reason(bundle: &Bundle) -> Option<&'static str> {
     // A proxy does not check API keys: it would admit every caller and pass no tenant to upstreams.
-    bundle.tenants().next().map(|_| "the bundle has tenants, which only sidecars support")
+    bundle.tenants().next().map(|_| "the bundle has tenants, which only sidecars know")
 }
 
 impl WatchHandler for Shared {
@@ -175,7 +175,7 @@
         approval: Option<&Approval>,
     ) -> Result<(), String> {
         if prepared.generation > 0 && !prepared.bundle.objects().is_empty() {
-            let approval = approval.ok_or("the bundle is not approved")?;
+            let approval = approval.ok_or("the bundle is not signed off")?;
             self.operators
                 .verify_approval(&prepared.bundle.digest(), approval)
                 .map_err(|error| error.to_string())?;
@@ -355,7 +355,7 @@
     }
     match shared.lock_core().generation() {
         Some(_) => Ok(()),
-        None => Err("no configuration has been applied yet".to_owned()),
+        None => Err("no configuration is in force yet".to_owned()),
     }
 }
 
--- a/crates/relay/src/runtime.rs
+++ b/crates/relay/src/runtime.rs
@@ -186,7 +186,7 @@
     let locked = shared.lock();
     match locked.core.view() {
         Some(_) => Ok(()),
-        None => Err("control has not been reached yet".to_owned()),
+        None => Err("control was not reached yet".to_owned()),
     }
 }
 
