--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The proxy: takes configuration and endpoints from a relay and forwards calls.
+//! The proxy: receives configuration and endpoints from a relay and forwards calls to backends.
 //!
-//! [`ProxyCore`] and [`RelayChooser`] decide the control side without I/O; the simulator and the
-//! hollow fleet drive the same code. The call path is in `call`, its decisions in crate `forward`.
+//! [`ProxyCore`] and [`RelayChooser`] implement the control side without I/O; the simulator and the
+//! lab's hollow proxies, which have no call path, run the same code. The call path is in `call`;
+//! crate `forward` makes its decisions.
 #![forbid(unsafe_code)]
 
 mod applied_store;
@@ -20,14 +21,15 @@
 mod upstream;
 mod watch;
 
-pub use crate::core::{Preparation, ProxyCore, ProxyWeakness, ReplyEffect};
+pub use crate::core::{PreparedConfig, ProxyCore, ProxyWeakness, ReplyEffect};
 pub use chooser::{RelayAddress, RelayChooser};
 pub use refusal::{Refusal, RefusalKind, HOP_HEADER};
 pub use runtime::{
-    load_operator_keys, load_seal_keys, relay_address, run, unsupported, ProxyError, RunningProxy,
+    load_operator_keys, load_seal_keys, relay_address, run, unsupported_reason, ProxyError,
+    RunningProxy,
 };
 pub use upstream::{
-    SendError, SendPolicy, UpstreamAnswer, UpstreamClient, UpstreamRequest, BACKEND_STATE_HEADER,
+    SendError, SendPolicy, UpstreamClient, UpstreamRequest, UpstreamResponse, BACKEND_STATE_HEADER,
     LOAD_HEADER,
 };
-pub use watch::{run_watch, WatchCounters, Watcher};
+pub use watch::{run_watch, WatchCounters, WatchHandler};
--- a/crates/simulator/src/relay_node.rs
+++ b/crates/simulator/src/relay_node.rs
@@ -160,7 +160,7 @@
         }
         let call = self.new_call();
         self.report.call = Some(call);
-        self.confirmation_ticket = self.core.confirmation_wanted();
+        self.confirmation_ticket = self.core.pending_confirmation();
         let report = self.core.report(hosts.clock_ms(self.node()));
         let confirm = self.confirmation_ticket.is_some();
         let control = Node::Control(self.controls[self.report.target]);
@@ -229,7 +229,7 @@
                     self.core.on_confirmed(ticket, *revision);
                     self.answer_held_polls(hosts);
                 }
-                let wanted = self.core.confirmation_wanted().is_some();
+                let wanted = self.core.pending_confirmation().is_some();
                 let delay_ms = if wanted { 10 } else { REPORT_INTERVAL_MS };
                 hosts.set_timer(self.node(), delay_ms, Timer::SendReport);
             }
@@ -259,7 +259,7 @@
         };
         self.held_polls.push(HeldPoll { session, call, proxy });
         hosts.set_timer(self.node(), LONG_POLL_MS, Timer::HoldExpired(call));
-        if self.core.confirmation_wanted().is_some() {
+        if self.core.pending_confirmation().is_some() {
             self.send_report(hosts);
         }
         self.answer_held_polls(hosts);
