--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The whole path in separate processes, in under half a minute.
+//! `chutecove-lab demo`: takes a small fleet of separate processes through two rollouts and a drain
+//! under load, in under half a minute.
 
 use crate::fleet::{
     bundle_toml, send, FleetLayout, FleetSpec, RunningFleet, ServiceShape, ZoneSpec,
@@ -9,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-const CALL_RATE: f64 = 300.0;
+const CALLS_PER_S: f64 = 300.0;
 const CALLER_THREADS: usize = 12;
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(6);
-const DRAIN_LIMIT: Duration = Duration::from_secs(5);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(6);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn spec() -> FleetSpec {
+fn fleet_spec() -> FleetSpec {
     let zone = |name: &str| ZoneSpec {
         name: name.to_owned(),
         region: "region-1".to_owned(),
@@ -32,7 +33,7 @@
     }
 }
 
-/// Problems found so far, printed at the end.
+/// Violations found so far; printed at the end.
 #[derive(Default)]
 struct Report {
     problems: Vec<String>,
@@ -46,14 +47,14 @@
     }
 }
 
-/// Runs the demo; an error means that an invariant broke.
+/// Runs the demo; returns an error if an invariant was violated.
 pub fn run(_arguments: &[String]) -> Result<(), crate::Failure> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let started = Instant::now();
-    let layout = FleetLayout::create(folder.path(), spec())?;
+    let layout = FleetLayout::create(folder.path(), fleet_spec())?;
     let mut fleet = RunningFleet::prepare(layout)?;
     let mut report = Report::default();
-    let result = drive(&mut fleet, &mut report);
+    let result = run_steps(&mut fleet, &mut report);
     let failed = fleet.stop_all();
     report.check(failed.is_empty(), format!("planned stops failed: {failed:?}"));
     if let Err(failure) = result {
@@ -68,7 +69,7 @@
     Err(format!("BROKEN:\n  {}", report.problems.join("\n  ")))
 }
 
-/// Warnings and errors of all processes, for finding the cause.
+/// Prints the first lines above level info from each process's log, to help find the cause.
 fn print_logs(folder: &std::path::Path) {
     let Ok(files) = std::fs::read_dir(folder) else {
         return;
@@ -78,14 +79,14 @@
             continue;
         }
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        let bad = text.lines().filter(|line| !line.contains("level=info"));
-        for line in bad.take(5) {
+        let above_info = text.lines().filter(|line| !line.contains("level=info"));
+        for line in above_info.take(5) {
             eprintln!("{}: {line}", path.file_name().unwrap_or_default().display());
         }
     }
 }
 
-fn drive(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
+fn run_steps(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
     let services = ServiceShape::fare_firm();
     for service in &services {
         for zone in 0..2 {
@@ -101,61 +102,80 @@
         fleet.layout.proxies.len(),
         fleet.backends.len()
     );
-    first_bundle(fleet, &services)?;
+    roll_out_first_bundle(fleet, &services)?;
     let load = RunningLoad::start(&load_plan(fleet, &services));
     std::thread::sleep(Duration::from_secs(1));
     let bytes_before = control_bytes(fleet);
-    second_bundle(fleet, &services)?;
+    roll_out_second_bundle(fleet, &services)?;
     let bytes = control_bytes(fleet) - bytes_before;
-    let per_proxy = bytes / fleet.layout.proxies.len() as f64;
-    println!("control bytes per proxy over the staged rollout: {per_proxy:.0}");
-    drain_one(fleet, report)?;
+    let bytes_per_proxy = bytes / fleet.layout.proxies.len() as f64;
+    println!("control bytes per proxy over the staged rollout: {bytes_per_proxy:.0}");
+    drain_one_backend(fleet, report)?;
     let tally = load.finish();
-    println!("{}", spread_line(fleet)?);
+    println!("{}", describe_generations(fleet)?);
     print_calls(fleet, &tally, report);
     Ok(())
 }
 
-fn first_bundle(fleet: &RunningFleet, services: &[ServiceShape]) -> Result<(), crate::Failure> {
+fn roll_out_first_bundle(
+    fleet: &RunningFleet,
+    services: &[ServiceShape],
+) -> Result<(), crate::Failure> {
     let stages = vec![Stage::Zones(vec!["zone-a".to_owned()]), Stage::All];
     let generation = fleet.roll_out(&bundle_toml(services, 0), 1, 0, stages, None)?;
-    fleet.wait_until("generation 1 in zone-a", IN_FORCE_LIMIT, |fleet| {
+    fleet.wait_until("generation 1 in zone-a", IN_FORCE_TIMEOUT, |fleet| {
         let generations = fleet.generations();
         let zone_a = generations.iter().filter(|(name, _)| name.contains("zone-a"));
-        zone_a.clone().count() > 0 && zone_a.into_iter().all(|(_, held)| *held >= Some(1))
+        zone_a.clone().count() > 0 && zone_a.into_iter().all(|(_, in_force)| *in_force >= Some(1))
     })?;
-    println!("generation {generation} is in force in zone-a only: {}", spread_line(fleet)?);
+    println!(
+        "generation {generation} is in force in zone-a only: {}",
+        describe_generations(fleet)?
+    );
     send(&fleet.submitter()?, &Command::Advance { generation, from_stage: 1 })?;
-    let took = fleet.wait_in_force(generation, IN_FORCE_LIMIT)?;
-    println!("generation {generation} is in force everywhere {:.0} ms after acceptance", ms(took));
+    let elapsed = fleet.wait_in_force(generation, IN_FORCE_TIMEOUT)?;
+    println!(
+        "generation {generation} is in force everywhere {:.0} ms after acceptance",
+        to_millis(elapsed)
+    );
     Ok(())
 }
 
-fn second_bundle(fleet: &RunningFleet, services: &[ServiceShape]) -> Result<(), crate::Failure> {
+fn roll_out_second_bundle(
+    fleet: &RunningFleet,
+    services: &[ServiceShape],
+) -> Result<(), crate::Failure> {
     let stages = vec![Stage::Percent(30), Stage::All];
     let generation = fleet.roll_out(&bundle_toml(services, 1), 2, 1, stages, None)?;
     std::thread::sleep(Duration::from_millis(500));
-    println!("generation {generation} is rolling: {}", spread_line(fleet)?);
+    println!("generation {generation} is rolling: {}", describe_generations(fleet)?);
     send(&fleet.submitter()?, &Command::Advance { generation, from_stage: 1 })?;
-    let took = fleet.wait_in_force(generation, IN_FORCE_LIMIT)?;
-    println!("generation {generation} is in force everywhere {:.0} ms after acceptance", ms(took));
+    let elapsed = fleet.wait_in_force(generation, IN_FORCE_TIMEOUT)?;
+    println!(
+        "generation {generation} is in force everywhere {:.0} ms after acceptance",
+        to_millis(elapsed)
+    );
     Ok(())
 }
 
-fn drain_one(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
-    let leaving = fleet.backends[0].clone();
-    fleet.platform.set_state(&leaving.service, leaving.address, "leaving");
-    let took = fleet.wait_unused(leaving.address, DRAIN_LIMIT)?;
+fn drain_one_backend(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
+    let backend = fleet.backends[0].clone();
+    fleet.platform.set_state(&backend.service, backend.address, "leaving");
+    let elapsed = fleet.wait_unused(backend.address, DRAIN_TIMEOUT)?;
     println!(
         "{} gets no new work {:.0} ms after the platform's list said so",
-        leaving.name,
-        ms(took)
+        backend.name,
+        to_millis(elapsed)
     );
-    let process = fleet.processes.get_mut(&leaving.name).ok_or("no such back end")?;
+    let process =
+        fleet.processes.get_mut(&backend.name).ok_or("the backend to drain has no process")?;
     process.terminate();
-    let ended = process.wait_ended(DRAIN_LIMIT + Duration::from_secs(10));
-    report.check(ended.is_some_and(|status| status.success()), "the back end did not stop");
-    fleet.platform.remove(&leaving.service, leaving.address);
+    let exit_status = process.wait_exit(DRAIN_TIMEOUT + Duration::from_secs(10));
+    report.check(
+        exit_status.is_some_and(|status| status.success()),
+        "the drained backend did not exit cleanly",
+    );
+    fleet.platform.remove(&backend.service, backend.address);
     std::thread::sleep(Duration::from_secs(1));
     Ok(())
 }
@@ -173,7 +193,7 @@
         targets: fleet.layout.proxies.iter().map(|proxy| proxy.settings.listen).collect(),
         kinds,
         threads: CALLER_THREADS,
-        rate: CALL_RATE,
+        rate: CALLS_PER_S,
         key_prefix: "demo".to_owned(),
         deadline: None,
     }
@@ -184,19 +204,20 @@
         "chutecove_proxy_control_sent_bytes_total",
         "chutecove_proxy_control_received_bytes_total",
     ];
-    let of = |metrics| -> f64 { names.iter().filter_map(|n| fleet.metric(metrics, n)).sum() };
-    fleet.layout.proxies.iter().map(|proxy| of(proxy.settings.metrics_listen)).sum()
+    let control_bytes_of =
+        |metrics| -> f64 { names.iter().filter_map(|name| fleet.metric(metrics, name)).sum() };
+    fleet.layout.proxies.iter().map(|proxy| control_bytes_of(proxy.settings.metrics_listen)).sum()
 }
 
-fn spread_line(fleet: &RunningFleet) -> Result<String, crate::Failure> {
+fn describe_generations(fleet: &RunningFleet) -> Result<String, crate::Failure> {
     let status: serde_json::Value =
         fleet.submitter()?.get("/v1/status").map_err(|failure| failure.message)?;
     let spread = &status["spread"];
-    let mut parts = Vec::new();
+    let mut counts = Vec::new();
     for entry in spread["by_generation"].as_array().into_iter().flatten() {
-        parts.push(format!("generation {} on {} proxies", entry[0], entry[1]));
+        counts.push(format!("generation {} on {} proxies", entry[0], entry[1]));
     }
-    Ok(format!("{}, {} unknown", parts.join(", "), spread["unknown"]))
+    Ok(format!("{}, {} unknown", counts.join(", "), spread["unknown"]))
 }
 
 fn print_calls(fleet: &RunningFleet, tally: &Tally, report: &mut Report) {
@@ -221,6 +242,6 @@
     report.check(contradictions.is_empty(), contradictions.join("; "));
 }
 
-fn ms(duration: Duration) -> f64 {
+fn to_millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1_000.0
 }
--- a/crates/lab/src/experiment/drain.rs
+++ b/crates/lab/src/experiment/drain.rs
@@ -51,7 +51,7 @@
 fn end(fleet: &mut RunningFleet, name: &str) -> Result<(), crate::Failure> {
     let process = fleet.processes.get_mut(name).ok_or_else(|| format!("no {name}"))?;
     process.terminate();
-    match process.wait_ended(STOP_LIMIT) {
+    match process.wait_exit(STOP_LIMIT) {
         Some(status) if status.success() => Ok(()),
         other => Err(format!("{name} ended with {other:?}")),
     }
--- a/crates/lab/src/experiment/faults.rs
+++ b/crates/lab/src/experiment/faults.rs
@@ -130,7 +130,7 @@
         if let Some(process) = fleet.processes.get_mut(name) {
             process.freeze();
             std::thread::sleep(FREEZE);
-            process.wake();
+            process.resume();
         }
         Ok(if role == "control" { "control_frozen" } else { "relay_frozen" })
     }
@@ -142,7 +142,7 @@
         std::thread::sleep(PAUSE);
         if let Some(process) = fleet.processes.get_mut(&place.name) {
             process.terminate();
-            process.wait_ended(IN_FORCE_LIMIT);
+            process.wait_exit(IN_FORCE_LIMIT);
         }
         fleet.run_backend(position, &[])?;
         fleet.platform.next_incarnation(&place.service, place.address);
--- a/crates/lab/src/experiment/repair.rs
+++ b/crates/lab/src/experiment/repair.rs
@@ -49,7 +49,7 @@
 
 fn ends_with_failure(fleet: &mut RunningFleet, name: &str) -> bool {
     let process = fleet.processes.get_mut(name);
-    let ended = process.and_then(|process| process.wait_ended(LIMIT));
+    let ended = process.and_then(|process| process.wait_exit(LIMIT));
     ended.is_some_and(|status| !status.success())
 }
 
@@ -68,7 +68,7 @@
         let name = format!("members-{verb}");
         fleet.start(&name, &arguments.map(str::to_owned))?;
         let process = fleet.processes.get_mut(&name).ok_or("it was just started")?;
-        let ended = process.wait_ended(LIMIT);
+        let ended = process.wait_exit(LIMIT);
         if ended.is_none_or(|status| !status.success()) {
             let log = fleet.layout.folder.join(format!("{name}.log"));
             let told = std::fs::read_to_string(log).unwrap_or_default();
@@ -82,7 +82,7 @@
     let name = fleet.layout.relays[position].settings.name.clone();
     if let Some(process) = fleet.processes.get_mut(&name) {
         process.terminate();
-        process.wait_ended(LIMIT);
+        process.wait_exit(LIMIT);
     }
     fleet.start_relay(position)
 }
--- a/crates/lab/src/experiment/spread.rs
+++ b/crates/lab/src/experiment/spread.rs
@@ -128,7 +128,7 @@
     if let Some(process) = fleet.fleet.processes.get_mut(name) {
         match frozen {
             true => process.freeze(),
-            false => process.wake(),
+            false => process.resume(),
         }
     }
 }
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -12,7 +12,7 @@
 pub struct ManagedProcess {
     name: String,
     child: Child,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
 }
 
 impl ManagedProcess {
@@ -25,7 +25,7 @@
             .stdout(output.try_clone()?)
             .stderr(output)
             .spawn()?;
-        Ok(ManagedProcess { name: name.to_owned(), child, ended: None })
+        Ok(ManagedProcess { name: name.to_owned(), child, exit_status: None })
     }
 
     /// Its name in the fleet.
@@ -40,17 +40,17 @@
 
     /// Whether it still runs.
     pub fn is_running(&mut self) -> bool {
-        if self.ended.is_none() {
-            self.ended = self.child.try_wait().ok().flatten();
+        if self.exit_status.is_none() {
+            self.exit_status = self.child.try_wait().ok().flatten();
         }
-        self.ended.is_none()
+        self.exit_status.is_none()
     }
 
     /// Ends it at once (SIGKILL).
     pub fn kill(&mut self) {
         if self.is_running() {
             let _ = self.child.kill();
-            self.ended = self.child.wait().ok();
+            self.exit_status = self.child.wait().ok();
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Wakes it (SIGCONT).
-    pub fn wake(&mut self) {
+    pub fn resume(&mut self) {
         self.signal("CONT");
     }
 
@@ -77,12 +77,12 @@
     }
 
     /// Waits until it has ended; `None` after the limit.
-    pub fn wait_ended(&mut self, limit: Duration) -> Option<ExitStatus> {
+    pub fn wait_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + limit;
         while self.is_running() && Instant::now() < deadline {
             std::thread::sleep(POLL);
         }
-        self.ended
+        self.exit_status
     }
 }
 
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -328,7 +328,7 @@
         }
         let mut failed = Vec::new();
         for process in self.processes.values_mut() {
-            match process.wait_ended(Duration::from_secs(15)) {
+            match process.wait_exit(Duration::from_secs(15)) {
                 Some(status) if status.success() => {}
                 Some(status) => failed.push(format!("{} ended with {status}", process.name())),
                 None => failed.push(format!("{} did not stop", process.name())),
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -1,7 +1,8 @@
-//! Hollow proxies: the product's control side and wire format without callers, many in a process.
+//! `chutecove-lab hollow`: many proxies in one process, with the product's control client and wire
+//! format but without call traffic.
 //!
-//! Each has its own name, certificate, connection and state. It checks the sign-off and compiles
-//! the routes as a whole proxy does, and throws the table away.
+//! Each hollow proxy has its own name, certificate, connection and state. It verifies the approval
+//! and compiles the routing table as a full proxy does, then discards the table.
 
 use bundle::{Approval, OperatorKeys, SealKeys};
 use endpoints::EndpointView;
@@ -22,22 +23,22 @@
 use telemetry::{Clock, StopSignal};
 use wire::{TlsFiles, TlsIdentity};
 
-const STACK_BYTES: usize = 512 * 1024;
+const THREAD_STACK_BYTES: usize = 512 * 1024;
 
-/// What a hollow process says of its proxies.
+/// Status that a hollow process reports for its proxies.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HollowStatus {
-    /// Generation in force on each proxy; 0 before the first.
+    /// Generation in force on each proxy; 0 before the first one is applied.
     pub generations: Vec<u64>,
-    /// When each generation was applied: generation and microseconds since 1970.
+    /// Generation and time of each application, microseconds since 1970.
     pub applied: Vec<(u64, u64)>,
-    /// Bytes of frames sent to relays.
+    /// Frame bytes sent to relays, summed over the proxies.
     pub sent_bytes: u64,
-    /// Bytes of frames received from relays.
+    /// Frame bytes received from relays, summed over the proxies.
     pub received_bytes: u64,
 }
 
-struct Keys {
+struct VerificationKeys {
     seal: SealKeys,
     operators: OperatorKeys,
 }
@@ -45,7 +46,7 @@
 struct HollowProxy {
     core: Mutex<ProxyCore>,
     counters: WatchCounters,
-    keys: Arc<Keys>,
+    keys: Arc<VerificationKeys>,
     applied: Arc<Mutex<Vec<(u64, u64)>>>,
 }
 
@@ -56,7 +57,7 @@
         approval: Option<&Approval>,
     ) -> Result<(), String> {
         if preparation.generation > 0 {
-            let approval = approval.ok_or("the bundle is not signed off")?;
+            let approval = approval.ok_or("the bundle has no approval")?;
             let digest = preparation.bundle.digest();
             let verified = self.keys.operators.verify_approval(&digest, approval);
             verified.map_err(|error| error.to_string())?;
@@ -72,7 +73,7 @@
     fn endpoints_changed(&self, _endpoints: &EndpointView) {}
 }
 
-/// Runs hollow proxies until asked to stop.
+/// Runs hollow proxies until a stop signal arrives.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let mut options = Options::new();
     options.reqopt("", "status", "address for the status", "ADDRESS");
@@ -92,10 +93,10 @@
             Some(keys) => Arc::clone(keys),
             None => keys.insert(Arc::new(load_keys(&settings)?)).clone(),
         };
-        proxies.push(start(settings, keys, applied.clone(), &stop)?);
+        proxies.push(start_proxy(settings, keys, applied.clone(), &stop)?);
     }
     let server = rouille::Server::new(status, move |_| {
-        rouille::Response::json(&status_of(&proxies, &applied))
+        rouille::Response::json(&collect_status(&proxies, &applied))
     })
     .map_err(|error| error.to_string())?;
     thread::spawn(move || server.run());
@@ -103,30 +104,30 @@
     Ok(())
 }
 
-fn load_keys(settings: &ProxySettings) -> Result<Keys, crate::Failure> {
+fn load_keys(settings: &ProxySettings) -> Result<VerificationKeys, crate::Failure> {
     let seal = load_seal_keys(&settings.seal_key_file).map_err(|error| error.to_string())?;
     let operators =
         load_operator_keys(&settings.operators_file).map_err(|error| error.to_string())?;
-    Ok(Keys { seal, operators })
+    Ok(VerificationKeys { seal, operators })
 }
 
-fn start(
+fn start_proxy(
     settings: ProxySettings,
-    keys: Arc<Keys>,
+    keys: Arc<VerificationKeys>,
     applied: Arc<Mutex<Vec<(u64, u64)>>>,
     stop: &StopSignal,
 ) -> Result<Arc<HollowProxy>, crate::Failure> {
     let name = ProxyName { id: settings.name.clone(), zone: settings.zone.clone() };
     let core = Mutex::new(ProxyCore::new(name, None));
     let proxy = Arc::new(HollowProxy { core, counters: WatchCounters::default(), keys, applied });
-    let (running, stop) = (proxy.clone(), stop.clone());
-    let builder = thread::Builder::new().stack_size(STACK_BYTES);
-    let spawned = builder.spawn(move || watch(&running, &settings, &stop));
+    let (client_proxy, stop) = (proxy.clone(), stop.clone());
+    let builder = thread::Builder::new().stack_size(THREAD_STACK_BYTES);
+    let spawned = builder.spawn(move || run_control_client(&client_proxy, &settings, &stop));
     spawned.map_err(|error| error.to_string())?;
     Ok(proxy)
 }
 
-fn watch(proxy: &HollowProxy, settings: &ProxySettings, stop: &StopSignal) {
+fn run_control_client(proxy: &HollowProxy, settings: &ProxySettings, stop: &StopSignal) {
     let files = TlsFiles {
         authority: settings.tls.authority.clone(),
         certificate: settings.tls.certificate.clone(),
@@ -146,7 +147,7 @@
     run_watch(&proxy.core, &tls, &mut chooser, proxy, &proxy.counters, clock, stop);
 }
 
-fn status_of(proxies: &[Arc<HollowProxy>], applied: &Mutex<Vec<(u64, u64)>>) -> HollowStatus {
+fn collect_status(proxies: &[Arc<HollowProxy>], applied: &Mutex<Vec<(u64, u64)>>) -> HollowStatus {
     let generation = |proxy: &Arc<HollowProxy>| {
         let core = proxy.core.lock().unwrap_or_else(PoisonError::into_inner);
         core.generation().unwrap_or(0)
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The lab: stands in for everything outside the product, and proves the product against it.
+//! Test lab: simulation, fault injection and benchmarks that run the product against stubs of the
+//! callers, backends and platform around it.
 #![forbid(unsafe_code)]
 
 mod demo;
@@ -28,7 +29,7 @@
   product ...        the product's own command line, in this binary
 ";
 
-/// A command's failure, for people.
+/// Error message of a command, printed to the user.
 type Failure = String;
 
 fn main() -> ExitCode {
@@ -55,8 +56,8 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            eprintln!("{failure}");
+        Err(message) => {
+            eprintln!("{message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/scale/phases.rs
+++ b/crates/lab/src/scale/phases.rs
@@ -218,7 +218,7 @@
     });
     thread::sleep(woken_at.saturating_duration_since(Instant::now()));
     if let Some(process) = fleet.fleet.processes.get_mut(&name) {
-        process.wake();
+        process.resume();
     }
     Ok(vec![(waited?, asked_us)])
 }
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -1,4 +1,4 @@
-//! `chutecove-lab sim`: many seeds, on all cores.
+//! `chutecove-lab sim`: runs many simulator seeds in parallel on all cores.
 
 use getopts::Options;
 use hdrhistogram::Histogram;
@@ -29,16 +29,20 @@
     generations: u64,
 }
 
-/// Runs the seeds; an error means that an invariant broke.
+/// Runs the seeds; returns an error if any of them violated an invariant.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let Some(request) = parse(arguments)? else { return Ok(()) };
     let started = Instant::now();
     let summary = run_all(&request);
     let seconds = started.elapsed().as_secs_f64();
-    print(&request, &summary, seconds);
+    print_summary(&request, &summary, seconds);
     match summary.failures.is_empty() {
         true => Ok(()),
-        false => Err(format!("{} of {} seeds broke", summary.failures.len(), request.seeds)),
+        false => Err(format!(
+            "{} of {} seeds violated an invariant",
+            summary.failures.len(),
+            request.seeds
+        )),
     }
 }
 
@@ -74,15 +78,15 @@
 }
 
 fn run_all(request: &Request) -> Summary {
-    let next = AtomicU64::new(request.first);
-    let end = request.first + request.seeds;
+    let next_seed = AtomicU64::new(request.first);
+    let end_seed = request.first + request.seeds;
     let summary = Mutex::new(Summary::default());
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= end {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                if seed >= end_seed {
                     return;
                 }
                 let scenario = request.scenario.unwrap_or_else(|| Scenario::for_seed(seed));
@@ -101,9 +105,9 @@
         *self.by_scenario.entry(scenario.as_str()).or_default() += 1;
         self.events += outcome.events;
         self.generations += outcome.generations;
-        let histogram = self
-            .convergence
-            .get_or_insert_with(|| Histogram::new(3).expect("the precision is valid"));
+        let histogram = self.convergence.get_or_insert_with(|| {
+            Histogram::new(3).expect("3 significant digits are a valid precision")
+        });
         let _ = histogram.record(outcome.convergence_ms);
         if !outcome.violations.is_empty() {
             self.failures.push((seed, scenario, outcome));
@@ -111,11 +115,11 @@
     }
 
     fn quantile(&self, quantile: f64) -> u64 {
-        self.convergence.as_ref().map_or(0, |held| held.value_at_quantile(quantile))
+        self.convergence.as_ref().map_or(0, |histogram| histogram.value_at_quantile(quantile))
     }
 }
 
-fn print(request: &Request, summary: &Summary, seconds: f64) {
+fn print_summary(request: &Request, summary: &Summary, seconds: f64) {
     if request.json {
         let failures: Vec<serde_json::Value> = summary
             .failures
--- a/crates/lab/src/soak/callers.rs
+++ b/crates/lab/src/soak/callers.rs
@@ -1,11 +1,12 @@
-//! Callers: each a thread that calls through one sidecar. Half of them open a connection for each call
-//! and go elsewhere when the sidecar is not ready; half keep theirs and use it until it is gone.
+//! Caller threads, each of which sends calls through one sidecar. Half of them open a connection
+//! for each call and stop calling while their sidecar is not ready; the other half reuse a
+//! persistent connection until it is closed.
 
-use super::clock::{Clock, Shared};
-use super::kept::{KeptConnection, KeptEnd};
+use super::clock::{Clock, EventList};
+use super::kept::{CallOutcome, PersistentConnection};
 use super::machines::{Machines, CALLERS};
 use super::operator::{BASE_HOST, BASE_PATH};
-use super::upstream::{answer_to, ID_HEADER, POISON};
+use super::upstream::{expected_body, ID_HEADER, POISON};
 use http1::Headers;
 use soak::{Call, End};
 use std::net::SocketAddr;
@@ -14,54 +15,55 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const PAUSE_MS: std::ops::Range<u64> = 5..40;
+const CALL_PAUSE_MS: std::ops::Range<u64> = 5..40;
 const POISON_PAUSE_MS: std::ops::Range<u64> = 20..120;
-/// One of so many calls asks for the route of a version.
-const VERSIONED_ONE_OF: u64 = 6;
-/// One of so many calls must not be repeated.
-const CHARGE_ONE_OF: u64 = 3;
-/// One of so many of those has a body that goes from sidecar to sidecar as it is granted.
-const UPLOAD_ONE_OF: u64 = 4;
+/// Every n-th call uses a route that only one configuration version has.
+const VERSIONED_CALL_INTERVAL: u64 = 6;
+/// Every n-th call is a charge, which must not be repeated.
+const CHARGE_CALL_INTERVAL: u64 = 3;
+/// Every n-th charge has a body, long enough that sidecars stream it under flow-control grants.
+const UPLOAD_CHARGE_INTERVAL: u64 = 4;
 const UPLOAD_BYTES: std::ops::Range<usize> = 9_000..200_000;
 
-/// What the callers of a soak share.
+/// The running caller threads of a soak round.
 pub struct Callers {
-    ended: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// One caller.
+/// State of one caller thread.
 struct Caller {
-    /// The connection that it keeps, if it is one that does.
-    kept: Option<KeptConnection>,
+    /// Persistent connection; `None` for a caller that opens one per call.
+    connection: Option<PersistentConnection>,
     host: u8,
     base: String,
     next_id: Arc<AtomicU64>,
     version: Arc<AtomicU64>,
     clock: Clock,
-    calls: Shared<Call>,
+    calls: EventList<Call>,
 }
 
 impl Callers {
-    /// Starts `per_machine` callers at each machine of [`CALLERS`]; those of a machine whose bit is
-    /// set in `away` have gone elsewhere. `version` is the newest one sent.
+    /// Starts `per_machine` callers at each machine of [`CALLERS`]. Bit `i` of `inactive_callers`
+    /// tells the callers of machine `CALLERS[i]` to stop opening connections. `version` is the
+    /// newest configuration version sent.
     pub fn start(
         machines: &Machines,
-        away: &Arc<AtomicU64>,
+        inactive_callers: &Arc<AtomicU64>,
         per_machine: usize,
         version: &Arc<AtomicU64>,
         clock: Clock,
-        calls: &Shared<Call>,
+        calls: &EventList<Call>,
     ) -> Self {
-        let ended = Arc::new(AtomicBool::new(false));
+        let stop = Arc::new(AtomicBool::new(false));
         let next_id = Arc::new(AtomicU64::new(1));
         let mut threads = Vec::new();
-        for (place, host) in CALLERS.into_iter().enumerate() {
+        for (index, host) in CALLERS.into_iter().enumerate() {
             for number in 0..per_machine {
                 let address = SocketAddr::from((machines.ip(host), machines.ports.outbound));
-                let kept = (number % 2 == 0).then(|| KeptConnection::new(address));
+                let connection = (number % 2 == 0).then(|| PersistentConnection::new(address));
                 let mut caller = Caller {
-                    kept,
+                    connection,
                     host,
                     base: format!("http://{}:{}", machines.ip(host), machines.ports.outbound),
                     next_id: next_id.clone(),
@@ -69,25 +71,26 @@
                     clock,
                     calls: calls.clone(),
                 };
-                let (ended, away) = (ended.clone(), away.clone());
+                let (stop, inactive_callers) = (stop.clone(), inactive_callers.clone());
                 threads.push(thread::spawn(move || {
-                    while !ended.load(Ordering::Relaxed) {
-                        let gone = away.load(Ordering::SeqCst) & (1 << place) != 0;
-                        let open = caller.kept.as_ref().is_some_and(KeptConnection::is_open);
-                        if !gone || open {
+                    while !stop.load(Ordering::Relaxed) {
+                        let inactive = inactive_callers.load(Ordering::SeqCst) & (1 << index) != 0;
+                        let connected =
+                            caller.connection.as_ref().is_some_and(PersistentConnection::is_open);
+                        if !inactive || connected {
                             caller.call();
                         }
-                        thread::sleep(Duration::from_millis(fastrand::u64(PAUSE_MS)));
+                        thread::sleep(Duration::from_millis(fastrand::u64(CALL_PAUSE_MS)));
                     }
                 }));
             }
         }
-        Callers { ended, threads }
+        Callers { stop, threads }
     }
 
-    /// Lets every caller finish its call.
+    /// Stops all callers after their current call.
     pub fn finish(self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             let _ = thread.join();
         }
@@ -97,48 +100,50 @@
 impl Caller {
     fn call(&mut self) {
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
-        let repeatable = !id.is_multiple_of(CHARGE_ONE_OF);
+        let repeatable = !id.is_multiple_of(CHARGE_CALL_INTERVAL);
         let newest = self.version.load(Ordering::SeqCst);
-        let versioned = id.is_multiple_of(VERSIONED_ONE_OF) && newest > 1;
+        let versioned = id.is_multiple_of(VERSIONED_CALL_INTERVAL) && newest > 1;
         let version = versioned.then(|| newest - fastrand::u64(0..=1));
         let path = match version {
             Some(version) => format!("/v{version}/{id}"),
             None if repeatable => format!("{BASE_PATH}{id}"),
             None => format!("/charge/{id}"),
         };
-        let upload = self.kept.is_none()
+        let upload = self.connection.is_none()
             && !repeatable
             && version.is_none()
-            && (id / CHARGE_ONE_OF).is_multiple_of(UPLOAD_ONE_OF);
+            && (id / CHARGE_CALL_INTERVAL).is_multiple_of(UPLOAD_CHARGE_INTERVAL);
         let bytes = if upload { fastrand::usize(UPLOAD_BYTES) } else { 0 };
-        let body: Vec<u8> = (0..bytes).map(|place| (place as u64 * 7 + id) as u8).collect();
+        let body: Vec<u8> = (0..bytes).map(|index| (index as u64 * 7 + id) as u8).collect();
         let sent = self.clock.now();
-        let end = match &mut self.kept {
-            Some(kept) => ask_on(kept, id, &path),
-            None => self.ask(id, &path, &body),
+        let end = match &mut self.connection {
+            Some(connection) => send_on_connection(connection, id, &path),
+            None => self.send_request(id, &path, &body),
         };
         let ended = self.clock.now();
         let repeatable = repeatable || version.is_some();
         self.calls.push(Call { id, machine: self.host, repeatable, version, sent, ended, end });
     }
 
-    fn ask(&self, id: u64, path: &str, body: &[u8]) -> End {
+    fn send_request(&self, id: u64, path: &str, body: &[u8]) -> End {
         let url = format!("{}{path}", self.base);
         let (agent, id_text) = (super::agent(), id.to_string());
-        let answered = match body.is_empty() {
+        let result = match body.is_empty() {
             true => agent.get(url).header("Host", BASE_HOST).header(ID_HEADER, id_text).call(),
             false => {
                 agent.post(url).header("Host", BASE_HOST).header(ID_HEADER, id_text).send(body)
             }
         };
-        match answered {
+        match result {
             Err(ureq::Error::ConnectionFailed | ureq::Error::HostNotFound) => End::NotConnected,
             Err(ureq::Error::Io(error)) if is_refused(&error) => End::NotConnected,
             Err(_) => End::Cut,
             Ok(mut resp) => {
                 let status = resp.status().as_u16();
                 match resp.body_mut().read_to_string() {
-                    Ok(text) => End::Answered { status, whole: text == answer_to(id, path, body) },
+                    Ok(text) => {
+                        End::Answered { status, whole: text == expected_body(id, path, body) }
+                    }
                     Err(_) => End::Cut,
                 }
             }
@@ -146,22 +151,22 @@
     }
 }
 
-fn ask_on(kept: &mut KeptConnection, id: u64, path: &str) -> End {
+fn send_on_connection(connection: &mut PersistentConnection, id: u64, path: &str) -> End {
     let mut headers = Headers::default();
     headers.push("Host", BASE_HOST);
     headers.push(ID_HEADER, id.to_string());
-    match kept.get(path, &headers) {
-        KeptEnd::NotConnected => End::NotConnected,
-        KeptEnd::ClosedBetween => End::ClosedBetween,
-        KeptEnd::Cut => End::Cut,
-        KeptEnd::Answered(response) => {
-            let whole = response.body == answer_to(id, path, &[]).as_bytes();
+    match connection.get(path, &headers) {
+        CallOutcome::NotConnected => End::NotConnected,
+        CallOutcome::ClosedBetween => End::ClosedBetween,
+        CallOutcome::Cut => End::Cut,
+        CallOutcome::Answered(response) => {
+            let whole = response.body == expected_body(id, path, &[]).as_bytes();
             End::Answered { status: response.status, whole }
         }
     }
 }
 
-/// A caller that sends one poison request again and again, to whichever sidecar, for a time.
+/// Starts a caller that repeats one poison request through randomly chosen sidecars for `time`.
 pub fn repeat_poison(machines: &Machines, number: u64, time: Duration) -> JoinHandle<()> {
     let bases = CALLERS
         .map(|host| format!("http://{}:{}{BASE_PATH}", machines.ip(host), machines.ports.outbound));
@@ -170,7 +175,7 @@
         while Instant::now() < end {
             let base = &bases[fastrand::usize(..bases.len())];
             let url = format!("{}{POISON}{number}", base.trim_end_matches('/'));
-            // Whatever it is answered, it comes again.
+            // The response does not matter: the request is repeated in any case.
             drop(super::agent().get(url).header("Host", BASE_HOST).call());
             thread::sleep(Duration::from_millis(fastrand::u64(POISON_PAUSE_MS)));
         }
--- a/crates/lab/src/soak/faults.rs
+++ b/crates/lab/src/soak/faults.rs
@@ -1,8 +1,8 @@
-//! The faults of one round, drawn from its seed.
+//! Injects the faults of one round, drawn from its seed.
 
 use super::callers::repeat_poison;
 use super::clock::Clock;
-use super::machines::{Machines, CALLERS, COORDINATORS, DRAIN_MS, STOP_MS, UPSTREAMS};
+use super::machines::{Machines, CALLERS, COORDINATORS, DRAIN_MS, STOP_LIMIT_MS, UPSTREAMS};
 use super::operator::Operator;
 use super::upstream::Upstream;
 use soak::{Fault, FaultKind, Millis};
@@ -12,108 +12,108 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
-const DOWN_MS: std::ops::Range<u64> = 50..900;
+const FAULT_PAUSE_MS: std::ops::Range<u64> = 300..1_500;
+const DOWNTIME_MS: std::ops::Range<u64> = 50..900;
 const FREEZE_MS: std::ops::Range<u64> = 500..2_500;
-/// One of so many faults comes with a poison request.
-const POISON_ONE_OF: u32 = 5;
+/// One in this many faults, on average, comes with a poison request.
+const POISON_ODDS: u32 = 5;
 const POISON_MS: std::ops::Range<u64> = 1_000..6_000;
-/// After a fault on a coordinator, until the next one there: the group mends itself meanwhile.
-const GROUP_REST: Duration = Duration::from_millis(2_500);
-/// Callers that look at the readiness have gone by then.
-const NOTICE: Duration = Duration::from_millis(1_500);
-const ACKNOWLEDGE_LIMIT: Duration = Duration::from_secs(2);
-const READY_LIMIT: Duration = Duration::from_secs(10);
-const AFTER_DRAIN: Duration = Duration::from_millis(DRAIN_MS + 1_000);
-
-/// What faults act on.
+/// Pause between two faults on coordinators, in which their group recovers.
+const GROUP_RECOVERY: Duration = Duration::from_millis(2_500);
+/// Time after which callers that watch the readiness have stopped calling.
+const READINESS_NOTICE_DELAY: Duration = Duration::from_millis(1_500);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const DRAIN_WAIT: Duration = Duration::from_millis(DRAIN_MS + 1_000);
+
+/// Fault injector of one round.
 pub struct Faults<'a> {
-    /// The processes.
+    /// Processes of the fleet.
     pub machines: &'a mut Machines,
-    /// The upstreams by machine.
+    /// Upstreams by host number.
     pub upstreams: &'a BTreeMap<u8, Arc<Upstream>>,
     /// Sends versions between faults.
     pub operator: &'a mut Operator,
-    /// Machines whose callers have gone, as bits of the place in [`CALLERS`].
-    pub away: &'a Arc<AtomicU64>,
-    /// Time.
+    /// Machines whose callers are told to open no connections: bit `i` stands for `CALLERS[i]`.
+    pub inactive_callers: &'a Arc<AtomicU64>,
+    /// Clock of the round.
     pub clock: Clock,
-    /// Draws.
+    /// Random generator of the seed.
     pub random: fastrand::Rng,
-    /// What was done.
+    /// Faults injected so far.
     pub done: Vec<Fault>,
-    group_rests_until: Instant,
-    poisons: Vec<JoinHandle<()>>,
+    group_recovered_at: Instant,
+    poison_callers: Vec<JoinHandle<()>>,
 }
 
 impl<'a> Faults<'a> {
-    /// Nothing done yet.
+    /// Creates an injector that has injected no fault.
     pub fn new(
         machines: &'a mut Machines,
         upstreams: &'a BTreeMap<u8, Arc<Upstream>>,
         operator: &'a mut Operator,
-        away: &'a Arc<AtomicU64>,
+        inactive_callers: &'a Arc<AtomicU64>,
         clock: Clock,
         seed: u64,
     ) -> Self {
         let random = fastrand::Rng::with_seed(seed);
         let done = Vec::new();
-        let group_rests_until = Instant::now();
+        let group_recovered_at = Instant::now();
         Faults {
             machines,
             upstreams,
             operator,
-            away,
+            inactive_callers,
             clock,
             random,
             done,
-            group_rests_until,
-            poisons: Vec::new(),
+            group_recovered_at,
+            poison_callers: Vec::new(),
         }
     }
 
-    /// Strikes for a time.
+    /// Injects faults for `time`, and a new configuration version after each.
     pub fn run(&mut self, time: Duration) -> std::io::Result<()> {
-        let end = Instant::now() + time;
-        while Instant::now() < end {
-            if self.random.u32(0..POISON_ONE_OF) == 0 {
-                self.begin_poison();
+        let deadline = Instant::now() + time;
+        while Instant::now() < deadline {
+            if self.random.u32(0..POISON_ODDS) == 0 {
+                self.start_poison_caller();
             }
             match self.random.u32(0..10) {
                 0 | 1 => self.kill_sidecar()?,
                 2 => self.freeze_sidecar(),
                 3 => self.stop_sidecar()?,
                 4 | 5 => self.drain_upstream(),
-                6 => self.strike_coordinator(FaultKind::Kill)?,
-                7 => self.strike_coordinator(FaultKind::Freeze)?,
-                8 => self.strike_coordinator(FaultKind::Wipe)?,
+                6 => self.inject_coordinator_fault(FaultKind::Kill)?,
+                7 => self.inject_coordinator_fault(FaultKind::Freeze)?,
+                8 => self.inject_coordinator_fault(FaultKind::Wipe)?,
                 _ => self.kill_all_coordinators()?,
             }
-            self.operator.send_next(ACKNOWLEDGE_LIMIT);
-            self.sleep(PAUSE_MS);
+            self.operator.send_next_version(ACKNOWLEDGE_TIMEOUT);
+            self.sleep(FAULT_PAUSE_MS);
         }
-        for poison in self.poisons.drain(..) {
-            drop(poison.join());
+        for poison_caller in self.poison_callers.drain(..) {
+            drop(poison_caller.join());
         }
         Ok(())
     }
 
-    /// A caller begins to repeat a request that crashes upstreams, beside the faults that follow.
-    fn begin_poison(&mut self) {
+    /// Starts a caller that repeats a request that crashes upstreams during the following faults.
+    fn start_poison_caller(&mut self) {
         let number = self.random.u64(1..=u64::MAX);
         let time = Duration::from_millis(self.random.u64(POISON_MS));
-        self.poisons.push(repeat_poison(self.machines, number, time));
+        self.poison_callers.push(repeat_poison(self.machines, number, time));
     }
 
     pub(super) fn sleep(&mut self, span_ms: std::ops::Range<u64>) {
         thread::sleep(Duration::from_millis(self.random.u64(span_ms)));
     }
 
-    fn any_of(&mut self, hosts: &[u8]) -> u8 {
+    fn pick_host(&mut self, hosts: &[u8]) -> u8 {
         hosts[self.random.usize(..hosts.len())]
     }
 
-    pub(super) fn note(&mut self, kind: FaultKind, machine: u8, from: Millis) {
+    pub(super) fn record_fault(&mut self, kind: FaultKind, machine: u8, from: Millis) {
         let to = self.clock.now();
         let coordinators = COORDINATORS.contains(&machine);
         self.done.push(Fault { kind, machine, coordinators, from, to });
@@ -121,19 +121,19 @@
 
     fn kill_sidecar(&mut self) -> std::io::Result<()> {
         let hosts = [&UPSTREAMS[..], &CALLERS[..]].concat();
-        let host = self.any_of(&hosts);
+        let host = self.pick_host(&hosts);
         let from = self.clock.now();
         if let Some(process) = self.machines.process(host) {
             process.kill();
         }
-        self.sleep(DOWN_MS);
+        self.sleep(DOWNTIME_MS);
         self.machines.start(host, false)?;
-        self.note(FaultKind::Kill, host, from);
+        self.record_fault(FaultKind::Kill, host, from);
         Ok(())
     }
 
     fn freeze_sidecar(&mut self) {
-        let host = self.any_of(&UPSTREAMS);
+        let host = self.pick_host(&UPSTREAMS);
         self.freeze(host);
     }
 
@@ -144,60 +144,61 @@
         }
         self.sleep(FREEZE_MS);
         if let Some(process) = self.machines.process(host) {
-            process.wake();
+            process.resume();
         }
-        self.note(FaultKind::Freeze, host, from);
+        self.record_fault(FaultKind::Freeze, host, from);
     }
 
-    /// A planned stop; callers of the machine notice it by its readiness.
+    /// Stops a sidecar with SIGTERM and restarts it; its callers notice through its readiness.
     fn stop_sidecar(&mut self) -> std::io::Result<()> {
         let hosts = [&UPSTREAMS[..], &CALLERS[..]].concat();
-        let host = self.any_of(&hosts);
+        let host = self.pick_host(&hosts);
         let from = self.clock.now();
         if let Some(process) = self.machines.process(host) {
             process.terminate();
         }
-        let bit = CALLERS.iter().position(|caller| *caller == host).map_or(0, |place| 1 << place);
-        thread::sleep(NOTICE);
-        self.away.fetch_or(bit, Ordering::SeqCst);
+        let bit = CALLERS.iter().position(|caller| *caller == host).map_or(0, |index| 1 << index);
+        thread::sleep(READINESS_NOTICE_DELAY);
+        self.inactive_callers.fetch_or(bit, Ordering::SeqCst);
         if let Some(process) = self.machines.process(host) {
-            process.wait_ended(Duration::from_millis(STOP_MS));
+            process.wait_exit(Duration::from_millis(STOP_LIMIT_MS));
         }
         self.machines.start(host, false)?;
         self.wait_ready(host);
-        self.away.fetch_and(!bit, Ordering::SeqCst);
-        self.note(FaultKind::Stop, host, from);
+        self.inactive_callers.fetch_and(!bit, Ordering::SeqCst);
+        self.record_fault(FaultKind::Stop, host, from);
         Ok(())
     }
 
     fn wait_ready(&self, host: u8) {
-        let end = Instant::now() + READY_LIMIT;
-        while !self.machines.is_ready(host) && Instant::now() < end {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !self.machines.is_ready(host) && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(20));
         }
     }
 
     fn drain_upstream(&mut self) {
-        let host = self.any_of(&UPSTREAMS);
+        let host = self.pick_host(&UPSTREAMS);
         let Some(upstream) = self.upstreams.get(&host) else {
             return;
         };
         let incarnation = upstream.incarnation();
-        if upstream.drain() {
+        if upstream.announce_draining() {
             let from = self.clock.now();
-            thread::sleep(AFTER_DRAIN);
+            thread::sleep(DRAIN_WAIT);
             if upstream.incarnation() != incarnation {
-                // A poison request ended it meanwhile; the next one did not say that it leaves.
+                // A poison request crashed it meanwhile; the new incarnation did not announce
+                // draining.
                 return;
             }
-            self.note(FaultKind::Drain, host, from);
+            self.record_fault(FaultKind::Drain, host, from);
         }
-        upstream.return_anew();
+        upstream.begin_new_incarnation();
     }
 
-    fn strike_coordinator(&mut self, kind: FaultKind) -> std::io::Result<()> {
-        self.let_group_rest();
-        let host = self.any_of(&COORDINATORS);
+    fn inject_coordinator_fault(&mut self, kind: FaultKind) -> std::io::Result<()> {
+        self.wait_for_group_recovery();
+        let host = self.pick_host(&COORDINATORS);
         if kind == FaultKind::Freeze {
             self.freeze(host);
         } else {
@@ -206,34 +207,34 @@
                 process.kill();
             }
             if kind == FaultKind::Wipe {
-                self.machines.wipe(host)?;
+                self.machines.delete_data_dir(host)?;
             }
-            self.sleep(DOWN_MS);
+            self.sleep(DOWNTIME_MS);
             self.machines.start(host, false)?;
-            self.note(kind, host, from);
+            self.record_fault(kind, host, from);
         }
-        self.group_rests_until = Instant::now() + GROUP_REST;
+        self.group_recovered_at = Instant::now() + GROUP_RECOVERY;
         Ok(())
     }
 
     pub(super) fn kill_all_coordinators(&mut self) -> std::io::Result<()> {
-        self.let_group_rest();
+        self.wait_for_group_recovery();
         let from = self.clock.now();
         for host in COORDINATORS {
             if let Some(process) = self.machines.process(host) {
                 process.kill();
             }
         }
-        self.sleep(DOWN_MS);
+        self.sleep(DOWNTIME_MS);
         for host in COORDINATORS {
             self.machines.start(host, false)?;
         }
-        self.note(FaultKind::Kill, COORDINATORS[0], from);
-        self.group_rests_until = Instant::now() + GROUP_REST;
+        self.record_fault(FaultKind::Kill, COORDINATORS[0], from);
+        self.group_recovered_at = Instant::now() + GROUP_RECOVERY;
         Ok(())
     }
 
-    fn let_group_rest(&self) {
-        thread::sleep(self.group_rests_until.saturating_duration_since(Instant::now()));
+    fn wait_for_group_recovery(&self) {
+        thread::sleep(self.group_recovered_at.saturating_duration_since(Instant::now()));
     }
 }
--- a/crates/lab/src/soak/kept.rs
+++ b/crates/lab/src/soak/kept.rs
@@ -1,4 +1,4 @@
-//! A caller's connection that is kept between calls, and used until it is gone.
+//! A caller's persistent connection, reused between calls until it is closed.
 
 use bytes::BytesMut;
 use http1::{write_request, Answer, Exchange, Headers, Response, StreamEnd};
@@ -6,96 +6,96 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Longer than any route's timeout.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longer than the timeout of any route.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: u64 = 1024 * 1024;
 const READ_BYTES: usize = 16 * 1024;
 
-/// How a call on it ended.
-pub enum KeptEnd {
-    /// With an answer.
+/// How a call on a persistent connection ended.
+pub enum CallOutcome {
+    /// A response arrived.
     Answered(Response),
-    /// There was no connection, and none was taken.
+    /// No connection was open and none could be established.
     NotConnected,
-    /// The connection ended before anything of an answer; it had served calls before.
+    /// A reused connection closed before any byte of the response.
     ClosedBetween,
-    /// It ended otherwise.
+    /// The connection closed in any other way, or the response timed out.
     Cut,
 }
 
-/// One connection, opened when it is needed.
-pub struct KeptConnection {
+/// A connection that is opened on demand.
+pub struct PersistentConnection {
     address: SocketAddr,
     stream: Option<TcpStream>,
 }
 
-impl KeptConnection {
-    /// Not connected yet.
+impl PersistentConnection {
+    /// Creates a connection that is not open yet.
     pub fn new(address: SocketAddr) -> Self {
-        KeptConnection { address, stream: None }
+        PersistentConnection { address, stream: None }
     }
 
-    /// Whether the next call uses a connection that is open.
+    /// Returns whether the next call will reuse an open connection.
     pub fn is_open(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Sends a request without a body and waits for its answer.
-    pub fn get(&mut self, path: &str, headers: &Headers) -> KeptEnd {
+    /// Sends a request without a body and waits for the response.
+    pub fn get(&mut self, path: &str, headers: &Headers) -> CallOutcome {
         let reused = self.is_open();
-        let Some(mut stream) = self.stream.take().or_else(|| open(self.address)) else {
-            return KeptEnd::NotConnected;
+        let Some(mut stream) = self.stream.take().or_else(|| connect(self.address)) else {
+            return CallOutcome::NotConnected;
         };
         let mut bytes = Vec::new();
         write_request(&mut bytes, "GET", path, headers, &[]);
         if stream.write_all(&bytes).is_err() {
-            return ended_early(reused);
+            return closed_without_response(reused);
         }
         let mut exchange = Exchange::new("GET", None, MAX_HEAD_BYTES, MAX_BODY_BYTES);
-        match read_answer(&mut stream, &mut exchange) {
+        match read_response(&mut stream, &mut exchange) {
             Ok(Answer { response, reusable }) => {
                 self.stream = reusable.then_some(stream);
-                KeptEnd::Answered(response)
+                CallOutcome::Answered(response)
             }
-            Err(nothing_came) if nothing_came => ended_early(reused),
-            Err(_) => KeptEnd::Cut,
+            Err(no_bytes_received) if no_bytes_received => closed_without_response(reused),
+            Err(_) => CallOutcome::Cut,
         }
     }
 }
 
-fn ended_early(reused: bool) -> KeptEnd {
+fn closed_without_response(reused: bool) -> CallOutcome {
     match reused {
-        true => KeptEnd::ClosedBetween,
-        false => KeptEnd::Cut,
+        true => CallOutcome::ClosedBetween,
+        false => CallOutcome::Cut,
     }
 }
 
-fn open(address: SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, CONNECT_LIMIT).ok()?;
-    stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
-    stream.set_write_timeout(Some(ANSWER_LIMIT)).ok()?;
+fn connect(address: SocketAddr) -> Option<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
+    stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     stream.set_nodelay(true).ok()?;
     Some(stream)
 }
 
-/// The answer; an error tells whether the connection ended before any of it.
-fn read_answer(stream: &mut TcpStream, exchange: &mut Exchange) -> Result<Answer, bool> {
+/// Reads the response. On failure, returns whether the connection closed before any byte of it.
+fn read_response(stream: &mut TcpStream, exchange: &mut Exchange) -> Result<Answer, bool> {
     let mut input = BytesMut::new();
-    let mut any = false;
+    let mut any_received = false;
     loop {
-        let mut piece = [0; READ_BYTES];
-        match stream.read(&mut piece) {
-            Ok(0) => return exchange.end_of_stream(StreamEnd::Clean).map_err(|_| !any),
+        let mut buffer = [0; READ_BYTES];
+        match stream.read(&mut buffer) {
+            Ok(0) => return exchange.end_of_stream(StreamEnd::Clean).map_err(|_| !any_received),
             Ok(count) => {
-                any = true;
-                input.extend_from_slice(&piece[..count]);
+                any_received = true;
+                input.extend_from_slice(&buffer[..count]);
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-            // No end of the connection: the caller has waited long enough.
+            // The read timed out; the connection was not closed.
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Err(false),
-            Err(_) => return Err(!any),
+            Err(_) => return Err(!any_received),
         }
         if let Some(answer) = exchange.receive(&mut input).map_err(|_| false)? {
             return Ok(answer);
--- a/crates/lab/src/soak/lost_answers.rs
+++ b/crates/lab/src/soak/lost_answers.rs
@@ -1,37 +1,39 @@
-//! Answers of all upstreams are lost while processes end in series: whatever is to be sent again, and
-//! however often those who count it end, the service gets no more than the fleet's bound.
+//! Loses the responses of all upstreams while series of processes are killed. However many calls
+//! need a retry, and however often the processes that count retries restart, the service must not
+//! receive more retries than the fleet's retry budget allows.
 
 use super::faults::Faults;
 use super::machines::{CALLERS, UPSTREAMS};
 use soak::{FaultKind, Millis};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Answers come for so long that sidecars save up what they may send again.
-const CALM_MS: std::ops::Range<Millis> = 9_000..13_000;
-/// Until the first kill: what was saved up is spent by then.
-const SPENT_MS: std::ops::Range<Millis> = 2_000..3_500;
-const NEXT_KILL_MS: std::ops::Range<Millis> = 500..1_500;
-const SERIES: usize = 2;
-const KILLS: usize = 6;
+/// Responses arrive for long enough that sidecars accumulate their full retry budget.
+const BUDGET_REFILL_MS: std::ops::Range<Millis> = 9_000..13_000;
+/// From the first lost response to the first kill; the accumulated budget is spent by then.
+const BUDGET_SPENT_MS: std::ops::Range<Millis> = 2_000..3_500;
+const KILL_PAUSE_MS: std::ops::Range<Millis> = 500..1_500;
+const SERIES_COUNT: usize = 2;
+const KILLS_PER_SERIES: usize = 6;
 
 impl Faults<'_> {
-    /// Series of kills while answers are lost.
-    pub fn run_lost_answers(&mut self, lossy: &AtomicBool) -> std::io::Result<()> {
-        for _ in 0..SERIES {
-            self.sleep(CALM_MS);
-            lossy.store(true, Ordering::SeqCst);
-            self.sleep(SPENT_MS);
-            for _ in 0..KILLS {
-                self.kill_callers_sidecars()?;
-                self.sleep(NEXT_KILL_MS);
+    /// Runs series of kills while responses are lost.
+    pub fn run_lost_answers(&mut self, lose_responses: &AtomicBool) -> std::io::Result<()> {
+        for _ in 0..SERIES_COUNT {
+            self.sleep(BUDGET_REFILL_MS);
+            lose_responses.store(true, Ordering::SeqCst);
+            self.sleep(BUDGET_SPENT_MS);
+            for _ in 0..KILLS_PER_SERIES {
+                self.kill_sidecars()?;
+                self.sleep(KILL_PAUSE_MS);
             }
-            lossy.store(false, Ordering::SeqCst);
+            lose_responses.store(false, Ordering::SeqCst);
         }
         Ok(())
     }
 
-    /// Those of callers, and now and then those of upstreams or all coordinators as well.
-    fn kill_callers_sidecars(&mut self) -> std::io::Result<()> {
+    /// Kills and restarts the callers' sidecars, and at random also those of upstreams or all
+    /// coordinators.
+    fn kill_sidecars(&mut self) -> std::io::Result<()> {
         if self.random.u32(0..4) == 0 {
             self.kill_all_coordinators()?;
         }
@@ -46,7 +48,7 @@
         }
         for host in hosts {
             self.machines.start(host, false)?;
-            self.note(FaultKind::Kill, host, from);
+            self.record_fault(FaultKind::Kill, host, from);
         }
         Ok(())
     }
--- a/crates/lab/src/soak/machines.rs
+++ b/crates/lab/src/soak/machines.rs
@@ -1,5 +1,5 @@
-//! The processes of a small fleet, each machine a loopback address of its own, since ports are
-//! alike on all machines.
+//! The processes of a small fleet. Each machine has its own loopback address, since all machines
+//! use the same ports.
 
 use crate::fleet::{ManagedProcess, PortRange};
 use std::collections::BTreeMap;
@@ -7,41 +7,42 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// Hosts of the coordinators.
+/// Host numbers (last octet of the address) of the coordinators.
 pub const COORDINATORS: [u8; 3] = [1, 2, 3];
-/// Hosts of the sidecars whose upstreams belong to [`SERVICE`].
+/// Host numbers of the sidecars whose upstreams belong to [`SERVICE`].
 pub const UPSTREAMS: [u8; 4] = [11, 12, 13, 14];
-/// Hosts of sidecars that only have callers.
+/// Host numbers of the sidecars that only have callers.
 pub const CALLERS: [u8; 2] = [21, 22];
-/// The service that is called.
+/// The service that callers call.
 pub const SERVICE: &str = "fares";
-/// Time after which an upstream that leaves is given nothing, milliseconds.
+/// Time after which a draining upstream receives no more calls, milliseconds.
 pub const DRAIN_MS: u64 = 1_000;
-/// What the sidecars are told of their links: so little that long bodies come in many grants.
+/// Link bandwidth in the settings of the sidecars; low, so that long bodies need many flow-control
+/// grants.
 const LINK_MBPS: f64 = 6.4;
-/// The bound on repeats, per call.
-pub const REPEAT_RATIO: f64 = 0.2;
-/// Repeats granted besides.
-pub const REPEAT_SLACK: f64 = 50.0;
-/// Length of its window, seconds.
-pub const REPEAT_WINDOW_S: u64 = 10;
-/// Longest planned stop, milliseconds.
-pub const STOP_MS: u64 = 5_000;
+/// Retries allowed per call.
+pub const RETRY_BUDGET_RATIO: f64 = 0.2;
+/// Retries allowed in addition, per window.
+pub const RETRY_BUDGET_SLACK: f64 = 50.0;
+/// Window of the retry budget, seconds.
+pub const RETRY_BUDGET_WINDOW_S: u64 = 10;
+/// Time limit of a planned stop, milliseconds.
+pub const STOP_LIMIT_MS: u64 = 5_000;
 
-/// Ports, alike on all machines.
+/// Ports, the same on all machines.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
     mesh: u16,
-    /// Of the operators' interface.
+    /// Operator API of a coordinator.
     pub api: u16,
     metrics: u16,
-    /// For callers.
+    /// Where a sidecar listens for callers.
     pub outbound: u16,
     inbound: u16,
     ready: u16,
-    /// Where an upstream registers.
+    /// Where a sidecar listens for the registrations of its upstream.
     pub registration: u16,
-    /// Of the upstream.
+    /// Where the upstream listens.
     pub upstream: u16,
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// All processes of a fleet; they are ended with it.
+/// All processes of a fleet; dropping it kills them.
 pub struct Machines {
     folder: PathBuf,
     network: u8,
@@ -72,13 +73,13 @@
 }
 
 impl Machines {
-    /// A fleet without processes yet; settings, disks and logs go into `folder`.
+    /// Creates a fleet without processes. Settings, data directories and logs go into `folder`.
     pub fn new(folder: &Path, network: u8) -> Self {
         let ports = Ports::find();
         Machines { folder: folder.to_owned(), network, ports, processes: BTreeMap::new() }
     }
 
-    /// Address of a machine.
+    /// Returns the address of a machine.
     pub fn ip(&self, host: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, 78, self.network, host)
     }
@@ -92,7 +93,7 @@
         self.folder.join(format!("data-{host}"))
     }
 
-    /// Starts the process of a machine; `bootstrap` only at the first start of all.
+    /// Starts the process of a machine; `bootstrap` is set only for the first start of the fleet.
     pub fn start(&mut self, host: u8, bootstrap: bool) -> io::Result<()> {
         let (role, settings) = match COORDINATORS.contains(&host) {
             true => ("coordinator", self.coordinator_settings(host, bootstrap)),
@@ -109,19 +110,19 @@
         Ok(())
     }
 
-    /// The process of a machine.
+    /// Returns the process of a machine, if it has been started.
     pub fn process(&mut self, host: u8) -> Option<&mut ManagedProcess> {
         self.processes.get_mut(&host)
     }
 
-    /// Whether a sidecar says that it is ready.
+    /// Returns whether a sidecar reports that it is ready.
     pub fn is_ready(&self, host: u8) -> bool {
         let url = format!("http://{}:{}/readyz", self.ip(host), self.ports.ready);
         super::agent().get(&url).call().is_ok_and(|resp| resp.status() == 200)
     }
 
-    /// Removes a coordinator's disk.
-    pub fn wipe(&self, host: u8) -> io::Result<()> {
+    /// Deletes a coordinator's data directory.
+    pub fn delete_data_dir(&self, host: u8) -> io::Result<()> {
         fs::remove_dir_all(self.data_dir(host))
     }
 
@@ -148,10 +149,10 @@
              mesh_port = {}\noutbound_listen = \"{ip}:{}\"\ninbound_listen = \"{ip}:{}\"\n\
              ready_listen = \"{ip}:{}\"\nregistration_listen = \"{ip}:{}\"\n\
              metrics_listen = \"{ip}:{}\"\nupstream = \"{ip}:{}\"\nservice = \"{service}\"\n\
-             seeds = [{}]\nplain_transport = true\ndrain_ms = {DRAIN_MS}\nstop_ms = {STOP_MS}\n\
+             seeds = [{}]\nplain_transport = true\ndrain_ms = {DRAIN_MS}\nstop_ms = {STOP_LIMIT_MS}\n\
              link_mbps = {LINK_MBPS}\n\
-             [retry_budget]\nratio = {REPEAT_RATIO}\nslack = {REPEAT_SLACK}\n\
-             window_s = {REPEAT_WINDOW_S}\n",
+             [retry_budget]\nratio = {RETRY_BUDGET_RATIO}\nslack = {RETRY_BUDGET_SLACK}\n\
+             window_s = {RETRY_BUDGET_WINDOW_S}\n",
             host % 2,
             ports.mesh,
             ports.outbound,
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! `chutecove-lab soak`: the real programs of a small fleet under seeded faults, checked while they
-//! run from what callers, upstreams and the operator see.
+//! `chutecove-lab soak`: runs the real processes of a small fleet under seeded faults and checks
+//! the product's guarantees from what callers, upstreams and the operator observe.
 
 mod callers;
 mod clearing;
@@ -14,16 +14,16 @@
 mod upstream;
 
 use self::callers::Callers;
-use self::clearing::Clearing;
-use self::clock::{Clock, Shared};
+use self::clearing::QuarantineClearer;
+use self::clock::{Clock, EventList};
 use self::faults::Faults;
 use self::machines::{
-    Machines, CALLERS, COORDINATORS, DRAIN_MS, REPEAT_RATIO, REPEAT_SLACK, REPEAT_WINDOW_S,
-    UPSTREAMS,
+    Machines, CALLERS, COORDINATORS, DRAIN_MS, RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK,
+    RETRY_BUDGET_WINDOW_S, UPSTREAMS,
 };
 use self::operator::Operator;
-use self::options::{Plan, Strain};
-use self::upstream::{Surroundings, Upstream};
+use self::options::{FaultProfile, Plan};
+use self::upstream::{Upstream, UpstreamEnvironment};
 use soak::{judge, Bounds, Breach, Call, Crash, Record, RepeatBounds, Run};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -31,24 +31,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const FAULTS_TIME: Duration = Duration::from_secs(40);
-const CALM_TIME: Duration = Duration::from_secs(6);
-const START_LIMIT: Duration = Duration::from_secs(20);
-const READ_LIMIT: Duration = Duration::from_secs(10);
+const FAULTS_DURATION: Duration = Duration::from_secs(40);
+const RECOVERY_DURATION: Duration = Duration::from_secs(6);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
 const CALLERS_PER_MACHINE: usize = 8;
 const BOUNDS: Bounds = Bounds {
     apply: 2_000,
     drain: DRAIN_MS + 300,
     settle: 3_500,
     repeats: RepeatBounds {
-        ratio: REPEAT_RATIO,
-        slack: REPEAT_SLACK,
-        window: REPEAT_WINDOW_S * 1_000,
+        ratio: RETRY_BUDGET_RATIO,
+        slack: RETRY_BUDGET_SLACK,
+        window: RETRY_BUDGET_WINDOW_S * 1_000,
     },
 };
-const MOST_PRINTED: usize = 8;
+const MAX_PRINTED: usize = 8;
 
-/// Runs rounds until the time is over; an error means that a promise did not hold.
+/// Runs all rounds of the plan; returns an error if a guarantee was violated in any of them.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let Some(plan) = Plan::parse(arguments)? else {
         print!("{}", options::usage());
@@ -58,15 +58,15 @@
     let mut rounds: u64 = 0;
     for seed in plan.seeds() {
         rounds += 1;
-        if let Err(failure) = round(seed, plan.network, plan.strain) {
+        if let Err(failure) = run_round(seed, plan.network, plan.fault_profile) {
             println!("{failure}");
             failures.push(seed);
         }
     }
-    report(rounds, &failures)
+    report_failures(rounds, &failures)
 }
 
-fn report(rounds: u64, failures: &[u64]) -> Result<(), crate::Failure> {
+fn report_failures(rounds: u64, failures: &[u64]) -> Result<(), crate::Failure> {
     println!("{rounds} rounds, {} with a promise broken: {failures:?}", failures.len());
     match failures.first() {
         None => Ok(()),
@@ -74,42 +74,49 @@
     }
 }
 
-/// One fleet from its first start to its end.
-fn round(seed: u64, network: u8, strain: Strain) -> Result<(), crate::Failure> {
+/// Runs one round: starts a fleet, injects faults, waits for recovery and checks the record.
+fn run_round(seed: u64, network: u8, fault_profile: FaultProfile) -> Result<(), crate::Failure> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let clock = Clock::start();
     let mut machines = Machines::new(folder.path(), network);
-    let (calls, runs) = (Shared::<Call>::default(), Shared::<Run>::default());
-    let crashes = Shared::<Crash>::default();
-    let lossy = Arc::new(AtomicBool::new(false));
-    let around =
-        Surroundings { clock, runs: runs.clone(), crashes: crashes.clone(), lossy: lossy.clone() };
+    let (calls, runs) = (EventList::<Call>::default(), EventList::<Run>::default());
+    let crashes = EventList::<Crash>::default();
+    let lose_responses = Arc::new(AtomicBool::new(false));
+    let environment = UpstreamEnvironment {
+        clock,
+        runs: runs.clone(),
+        crashes: crashes.clone(),
+        lose_responses: lose_responses.clone(),
+    };
     for host in COORDINATORS.into_iter().chain(UPSTREAMS).chain(CALLERS) {
         machines.start(host, true).map_err(|error| error.to_string())?;
     }
     let mut upstreams = BTreeMap::new();
     for host in UPSTREAMS {
-        upstreams.insert(host, Upstream::start(&machines, host, around.clone())?);
+        upstreams.insert(host, Upstream::start(&machines, host, environment.clone())?);
     }
     let mut operator = Operator::new(&machines, clock);
-    if !operator.send_next(START_LIMIT) {
-        return Err(format!("seed {seed}: the first version was not taken"));
+    if !operator.send_next_version(START_TIMEOUT) {
+        return Err(format!("seed {seed}: the first configuration version was not acknowledged"));
     }
-    let away = Arc::new(AtomicU64::new(0));
+    let inactive_callers = Arc::new(AtomicU64::new(0));
     let version = operator.version.clone();
-    wait_served(&machines)?;
-    let callers = Callers::start(&machines, &away, CALLERS_PER_MACHINE, &version, clock, &calls);
-    let clearing = (strain == Strain::Clearings).then(|| Clearing::start(&machines, clock, seed));
-    let mut faults = Faults::new(&mut machines, &upstreams, &mut operator, &away, clock, seed);
-    let struck = match strain {
-        Strain::Faults | Strain::Clearings => faults.run(FAULTS_TIME),
-        Strain::LostAnswers => faults.run_lost_answers(&lossy),
+    wait_until_registered(&machines)?;
+    let callers =
+        Callers::start(&machines, &inactive_callers, CALLERS_PER_MACHINE, &version, clock, &calls);
+    let clearer = (fault_profile == FaultProfile::RandomWithClearing)
+        .then(|| QuarantineClearer::start(&machines, clock, seed));
+    let mut faults =
+        Faults::new(&mut machines, &upstreams, &mut operator, &inactive_callers, clock, seed);
+    let fault_result = match fault_profile {
+        FaultProfile::Random | FaultProfile::RandomWithClearing => faults.run(FAULTS_DURATION),
+        FaultProfile::LostAnswers => faults.run_lost_answers(&lose_responses),
     };
-    struck.map_err(|error| error.to_string())?;
+    fault_result.map_err(|error| error.to_string())?;
     let faults = std::mem::take(&mut faults.done);
-    let clearings = clearing.map(Clearing::finish).unwrap_or_default();
+    let clearings = clearer.map(QuarantineClearer::finish).unwrap_or_default();
     let calm_from = clock.now();
-    thread::sleep(CALM_TIME);
+    thread::sleep(RECOVERY_DURATION);
     callers.finish();
     let record = Record {
         calls: calls.take(),
@@ -119,28 +126,28 @@
         orders: operator.orders.clone(),
         faults,
         calm_from,
-        read_back: operator.read_back(READ_LIMIT),
+        read_back: operator.read_back(READ_BACK_TIMEOUT),
     };
-    upstreams.values().for_each(|upstream| upstream.finish());
+    upstreams.values().for_each(|upstream| upstream.stop());
     let breaches = judge(&record, &BOUNDS);
     println!("{}", summary(seed, &record, &breaches));
     if breaches.is_empty() {
         return Ok(());
     }
-    let kept = folder.keep();
-    let shown: Vec<String> = breaches.iter().take(MOST_PRINTED).map(Breach::to_string).collect();
-    Err(format!("seed {seed}: logs in {}\n  {}", kept.display(), shown.join("\n  ")))
+    let log_folder = folder.keep();
+    let printed: Vec<String> = breaches.iter().take(MAX_PRINTED).map(Breach::to_string).collect();
+    Err(format!("seed {seed}: logs in {}\n  {}", log_folder.display(), printed.join("\n  ")))
 }
 
-fn wait_served(machines: &Machines) -> Result<(), crate::Failure> {
-    let end = Instant::now() + START_LIMIT;
+fn wait_until_registered(machines: &Machines) -> Result<(), crate::Failure> {
+    let end = Instant::now() + START_TIMEOUT;
     while !UPSTREAMS.into_iter().chain(CALLERS).all(|host| machines.is_ready(host)) {
         if Instant::now() >= end {
-            return Err("sidecars are not ready".to_owned());
+            return Err("sidecars did not become ready in time".to_owned());
         }
         thread::sleep(Duration::from_millis(20));
     }
-    // Upstreams register every 0.3 s.
+    // Upstreams send a heartbeat to their sidecar every 0.3 s; wait until each has registered.
     thread::sleep(Duration::from_millis(700));
     Ok(())
 }
@@ -148,13 +155,13 @@
 fn summary(seed: u64, record: &Record, breaches: &[Breach]) -> String {
     let mut ends: BTreeMap<String, usize> = BTreeMap::new();
     for call in &record.calls {
-        let word = match call.end {
+        let label = match call.end {
             soak::End::Answered { status, .. } => status.to_string(),
             soak::End::Cut => "cut".to_owned(),
             soak::End::ClosedBetween => "closed_between".to_owned(),
             soak::End::NotConnected => "not_connected".to_owned(),
         };
-        *ends.entry(word).or_default() += 1;
+        *ends.entry(label).or_default() += 1;
     }
     let acknowledged = record.orders.iter().filter(|order| order.acknowledged.is_some()).count();
     format!(
@@ -170,7 +177,8 @@
     )
 }
 
-/// A client of its own for each call: no connection is kept, so each end belongs to its call.
+/// Creates an HTTP client for a single call. Connections are not pooled, so a closed connection
+/// always belongs to that call.
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_secs(4)))
--- a/crates/lab/src/soak/operator.rs
+++ b/crates/lab/src/soak/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends versions, and reads back what is in force.
+//! The operator: sends configuration versions and reads back the version in force.
 
 use super::clock::Clock;
 use super::machines::{Machines, COORDINATORS, SERVICE};
@@ -10,26 +10,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const BASE_HOST: &str = "fares.example";
-/// Path of the route that every version has.
+/// Path prefix of the route that every version has.
 pub const BASE_PATH: &str = "/base/";
-const PAUSE: Duration = Duration::from_millis(50);
-const MOST_REDIRECTS: u32 = 3;
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const MAX_REDIRECTS: u32 = 3;
 
-/// The operator of a soak.
+/// The operator of a soak round.
 pub struct Operator {
     coordinators: Vec<Ipv4Addr>,
     port: u16,
     clock: Clock,
-    /// The newest version sent.
+    /// Newest version sent.
     pub version: Arc<AtomicU64>,
-    /// All orders so far.
+    /// Every version sent so far, with the time of its acknowledgement.
     pub orders: Vec<Order>,
 }
 
 impl Operator {
-    /// Has sent nothing yet.
+    /// Creates an operator that has not sent a version.
     pub fn new(machines: &Machines, clock: Clock) -> Self {
         Operator {
             coordinators: COORDINATORS.map(|host| machines.ip(host)).to_vec(),
@@ -40,36 +40,36 @@
         }
     }
 
-    /// Sends the next version until it is acknowledged, at most for `longest`; whether it was. The
-    /// same version is sent again if an earlier call had no clear answer.
-    pub fn send_next(&mut self, longest: Duration) -> bool {
-        let unclear = self.orders.last().is_some_and(|order| order.acknowledged.is_none());
-        if !unclear {
+    /// Sends the next version until it is acknowledged or `timeout` has passed, and returns whether
+    /// it was acknowledged. If the previous version was not acknowledged, sends that one again.
+    pub fn send_next_version(&mut self, timeout: Duration) -> bool {
+        let resend = self.orders.last().is_some_and(|order| order.acknowledged.is_none());
+        if !resend {
             let version = self.orders.last().map_or(1, |order| order.version + 1);
             self.orders.push(Order { version, acknowledged: None });
         }
         let version = self.orders.last().map_or(1, |order| order.version);
         self.version.store(version, Ordering::SeqCst);
-        let end = Instant::now() + longest;
-        for turn in 0.. {
-            let ip = self.coordinators[turn % self.coordinators.len()];
-            if self.order(ip, version) == Some(200) {
+        let deadline = Instant::now() + timeout;
+        for attempt in 0.. {
+            let ip = self.coordinators[attempt % self.coordinators.len()];
+            if self.put_version(ip, version) == Some(200) {
                 let now = self.clock.now();
                 self.orders.last_mut().expect("pushed above").acknowledged = Some(now);
                 return true;
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return false;
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
         false
     }
 
-    fn order(&self, ip: Ipv4Addr, version: u64) -> Option<u16> {
+    fn put_version(&self, ip: Ipv4Addr, version: u64) -> Option<u16> {
         let mut url = format!("http://{ip}:{}/v1/configuration", self.port);
         let body = configuration(version).to_string();
-        for _ in 0..MOST_REDIRECTS {
+        for _ in 0..MAX_REDIRECTS {
             let req = super::agent().put(&url).header("If-Match", (version - 1).to_string());
             let resp = req.send(&body).ok()?;
             if resp.status() != 307 {
@@ -80,21 +80,21 @@
         None
     }
 
-    /// The version in force, from whichever coordinator is sure within `longest`.
-    pub fn read_back(&self, longest: Duration) -> Option<u64> {
-        let end = Instant::now() + longest;
+    /// Returns the version in force, from the first coordinator that reports one within `timeout`.
+    pub fn read_back(&self, timeout: Duration) -> Option<u64> {
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(version) = self.coordinators.iter().find_map(|ip| self.read(*ip)) {
+            if let Some(version) = self.coordinators.iter().find_map(|ip| self.get_version(*ip)) {
                 return Some(version);
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return None;
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 
-    fn read(&self, ip: Ipv4Addr) -> Option<u64> {
+    fn get_version(&self, ip: Ipv4Addr) -> Option<u64> {
         let url = format!("http://{ip}:{}/v1/configuration", self.port);
         let resp = super::agent().get(&url).call().ok();
         let text = resp.filter(|resp| resp.status() == 200)?.body_mut().read_to_string().ok()?;
--- a/crates/lab/src/soak/options.rs
+++ b/crates/lab/src/soak/options.rs
@@ -1,4 +1,4 @@
-//! What is asked of a soak on the command line.
+//! Command-line options of a soak.
 
 use getopts::{Matches, Options};
 use std::fmt::Display;
@@ -13,70 +13,71 @@
 Rounds that run at the same time need networks (1 to 200) of their own.";
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// What a round strikes with.
+/// Which faults a round injects.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Strain {
-    /// Drawn faults.
-    Faults,
-    /// The same, while an operator clears what is in quarantine.
-    Clearings,
-    /// Lost answers, while processes end in series.
+pub enum FaultProfile {
+    /// Random faults drawn from the seed.
+    Random,
+    /// Random faults while an operator clears the quarantine.
+    RandomWithClearing,
+    /// Lost responses while series of processes are killed.
     LostAnswers,
 }
 
-/// Which rounds are played.
+/// Which rounds are run.
 pub enum Rounds {
-    /// So many, from this seed on.
-    From { seed: u64, count: u64 },
-    /// Fresh seeds for a time.
-    For(Duration),
+    /// `count` rounds with consecutive seeds from `seed` on.
+    Consecutive { seed: u64, count: u64 },
+    /// Rounds with random seeds for this duration.
+    Timed(Duration),
 }
 
-/// What a soak plays.
+/// Parsed options of a soak.
 pub struct Plan {
     pub rounds: Rounds,
-    /// Addresses of the fleets.
+    /// Third octet of the loopback addresses of the fleets.
     pub network: u8,
-    pub strain: Strain,
+    pub fault_profile: FaultProfile,
 }
 
 impl Plan {
-    /// Reads the arguments; `None` asks for the usage.
+    /// Parses the arguments; returns `None` if the help text was requested.
     pub fn parse(arguments: &[String]) -> Result<Option<Self>, crate::Failure> {
         let matches = options().parse(arguments).map_err(|error| error.to_string())?;
         if matches.opt_present("help") {
             return Ok(None);
         }
-        let count = number(&matches, "rounds", 1)?;
-        let minutes: f64 = number(&matches, "minutes", 1.0)?;
+        let count = number_option(&matches, "rounds", 1)?;
+        let minutes: f64 = number_option(&matches, "minutes", 1.0)?;
         let seed: Option<u64> =
             matches.opt_get("seed").map_err(|error| format!("--seed: {error}"))?;
         let rounds = match seed {
-            Some(seed) => Rounds::From { seed, count },
-            None => Rounds::For(Duration::from_secs_f64(minutes * SECONDS_PER_MINUTE)),
+            Some(seed) => Rounds::Consecutive { seed, count },
+            None => Rounds::Timed(Duration::from_secs_f64(minutes * SECONDS_PER_MINUTE)),
         };
-        let strain = match (matches.opt_present("clear"), matches.opt_present("lose-answers")) {
-            (_, true) => Strain::LostAnswers,
-            (true, false) => Strain::Clearings,
-            (false, false) => Strain::Faults,
-        };
-        Ok(Some(Plan { rounds, network: number(&matches, "network", 1)?, strain }))
+        let fault_profile =
+            match (matches.opt_present("clear"), matches.opt_present("lose-answers")) {
+                (_, true) => FaultProfile::LostAnswers,
+                (true, false) => FaultProfile::RandomWithClearing,
+                (false, false) => FaultProfile::Random,
+            };
+        Ok(Some(Plan { rounds, network: number_option(&matches, "network", 1)?, fault_profile }))
     }
 
-    /// The seeds of its rounds; fresh ones are drawn until the time is over.
+    /// Returns the seeds of the rounds; random ones are drawn until the duration has passed.
     pub fn seeds(&self) -> Box<dyn Iterator<Item = u64>> {
         match self.rounds {
-            Rounds::From { seed, count } => Box::new(seed..seed + count),
-            Rounds::For(time) => {
-                let end = Instant::now() + time;
-                let fresh = std::iter::repeat_with(|| fastrand::u64(..));
-                Box::new(fresh.take_while(move |_| Instant::now() < end))
+            Rounds::Consecutive { seed, count } => Box::new(seed..seed + count),
+            Rounds::Timed(duration) => {
+                let end = Instant::now() + duration;
+                let random_seeds = std::iter::repeat_with(|| fastrand::u64(..));
+                Box::new(random_seeds.take_while(move |_| Instant::now() < end))
             }
         }
     }
 }
 
-/// What may be asked.
+/// Returns the help text.
 pub fn usage() -> String {
     options().usage(BRIEF)
 }
@@ -93,7 +94,7 @@
     options
 }
 
-fn number<T>(matches: &Matches, name: &str, default: T) -> Result<T, crate::Failure>
+fn number_option<T>(matches: &Matches, name: &str, default: T) -> Result<T, crate::Failure>
 where
     T: FromStr,
     T::Err: Display,
--- a/crates/lab/src/soak/upstream.rs
+++ b/crates/lab/src/soak/upstream.rs
@@ -1,7 +1,7 @@
-//! Stand-in upstreams: they count their runs, register with the sidecar beside them, and end with all
-//! that they work on when they run a poison request.
+//! Stub upstreams. They record each run, register with the sidecar on the same machine, and crash
+//! with all requests in progress when they run a poison request.
 
-use super::clock::{Clock, Shared};
+use super::clock::{Clock, EventList};
 use super::machines::{Machines, SERVICE};
 use super::server::{Handler, Reply, Server};
 use http1::{Request, Response};
@@ -14,90 +14,92 @@
 use std::time::Duration;
 
 const SLOTS: usize = 8;
-const LOOK: Duration = Duration::from_millis(5);
-const BEAT: Duration = Duration::from_millis(300);
-const SHORTEST_WORK_MS: u64 = 2;
-const LONGEST_WORK_MS: u64 = 40;
-/// From the start of a poison run to the end of its upstream: others begin meanwhile.
-const TIME_TO_CRASH: Duration = Duration::from_millis(15);
-const TIME_TO_RESTART: Duration = Duration::from_millis(600);
-/// Part of the answers that is lost while upstreams are lossy.
-const LOST_PART: f64 = 0.8;
-/// Requests with this in their path are poison; a number follows that names them.
+const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const MIN_WORK_MS: u64 = 2;
+const MAX_WORK_MS: u64 = 40;
+/// Time from the start of a poison request to the crash, so that other requests are in progress
+/// then.
+const CRASH_DELAY: Duration = Duration::from_millis(15);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Probability that a response is lost while responses are being lost.
+const LOSS_PROBABILITY: f64 = 0.8;
+/// Marks the path of a poison request; the number of the request follows.
 pub const POISON: &str = "/poison-";
-/// Header that carries a call's id.
+/// Header with the id of a call.
 pub const ID_HEADER: &str = "X-Chutecove-Attempt-Id";
 
-/// One upstream.
+/// The upstream of one machine.
 pub struct Upstream {
     registration: String,
     incarnation: AtomicU64,
     sequence: AtomicU64,
     draining: AtomicBool,
-    /// Whether there is none between two lives.
+    /// Whether the server is down between a crash and its restart.
     down: AtomicBool,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// What upstreams take down, and what befalls all of them.
+/// State shared by all upstreams: the clock, the events they record and the faults that affect
+/// them.
 #[derive(Clone)]
-pub struct Surroundings {
-    /// Time.
+pub struct UpstreamEnvironment {
+    /// Clock of the round.
     pub clock: Clock,
-    /// Runs that began.
-    pub runs: Shared<Run>,
-    /// Ends by poison requests.
-    pub crashes: Shared<Crash>,
-    /// Whether most answers are lost now.
-    pub lossy: Arc<AtomicBool>,
+    /// Runs that started.
+    pub runs: EventList<Run>,
+    /// Crashes caused by poison requests.
+    pub crashes: EventList<Crash>,
+    /// Whether most responses are currently lost.
+    pub lose_responses: Arc<AtomicBool>,
 }
 
-/// What an upstream does with a request.
-struct Work {
+/// Handles the requests of one upstream.
+struct RequestHandler {
     host: u8,
-    around: Surroundings,
+    environment: UpstreamEnvironment,
 }
 
-impl Handler for Work {
-    fn answer(&self, request: &Request) -> Reply {
-        let Surroundings { clock, runs, crashes, lossy } = &self.around;
+impl Handler for RequestHandler {
+    fn handle(&self, request: &Request) -> Reply {
+        let UpstreamEnvironment { clock, runs, crashes, lose_responses } = &self.environment;
         let path = request.path();
         if let Some((_, number)) = path.split_once(POISON) {
-            thread::sleep(TIME_TO_CRASH);
+            thread::sleep(CRASH_DELAY);
             let poison = number.parse().unwrap_or(0);
             crashes.push(Crash { poison, machine: self.host, at: clock.now() });
-            return Reply::End;
+            return Reply::StopServer;
         }
         let id = request.headers.number(ID_HEADER).unwrap_or(0);
         runs.push(Run { call: id, machine: self.host, at: clock.now() });
-        thread::sleep(Duration::from_millis(fastrand::u64(SHORTEST_WORK_MS..LONGEST_WORK_MS)));
-        if lossy.load(Ordering::Relaxed) && fastrand::f64() < LOST_PART {
-            return Reply::Cut;
+        thread::sleep(Duration::from_millis(fastrand::u64(MIN_WORK_MS..MAX_WORK_MS)));
+        if lose_responses.load(Ordering::Relaxed) && fastrand::f64() < LOSS_PROBABILITY {
+            return Reply::CloseConnection;
         }
-        let response = Response::text(200, &answer_to(id, path, &request.body))
+        let response = Response::text(200, &expected_body(id, path, &request.body))
             .with_header("X-Chutecove-Seal", format!("seal-{}", self.host))
             .with_header(ID_HEADER, id.to_string());
-        Reply::Answer(response)
+        Reply::Respond(response)
     }
 }
 
-/// The whole answer to a call with this body.
-pub fn answer_to(id: u64, path: &str, body: &[u8]) -> String {
-    let sum = check_sum(body);
+/// Returns the complete response body to a call with this request body.
+pub fn expected_body(id: u64, path: &str, body: &[u8]) -> String {
+    let sum = checksum(body);
     format!("{id} {path} {} {sum} {}", body.len(), "x".repeat((id % 3_000) as usize))
 }
 
-/// A sum that notices bytes that are missing, changed or in another order.
-fn check_sum(bytes: &[u8]) -> u64 {
+/// Returns a checksum that detects missing, changed and reordered bytes.
+fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| (sum * 31 + u64::from(*byte)) % 1_000_000_007)
 }
 
 impl Upstream {
-    /// Starts the upstream of a machine.
+    /// Starts the upstream of a machine and its heartbeats.
     pub fn start(
         machines: &Machines,
         host: u8,
-        around: Surroundings,
+        environment: UpstreamEnvironment,
     ) -> Result<Arc<Self>, crate::Failure> {
         let ip = machines.ip(host);
         let upstream = Arc::new(Upstream {
@@ -106,50 +108,55 @@
             sequence: AtomicU64::new(1),
             draining: AtomicBool::new(false),
             down: AtomicBool::new(false),
-            ended: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         });
         let address = SocketAddr::from((ip, machines.ports.upstream));
-        let work = Arc::new(Work { host, around });
-        let first = Server::start(address, work.clone()).map_err(|error| error.to_string())?;
-        let living = upstream.clone();
-        thread::spawn(move || living.live(first, address, &work));
-        let beating = upstream.clone();
+        let handler = Arc::new(RequestHandler { host, environment });
+        let first = Server::start(address, handler.clone()).map_err(|error| error.to_string())?;
+        let supervised = upstream.clone();
+        thread::spawn(move || supervised.restart_after_crashes(first, address, &handler));
+        let heartbeat_source = upstream.clone();
         thread::spawn(move || {
-            while !beating.ended.load(Ordering::Relaxed) {
-                if !beating.down.load(Ordering::SeqCst) {
-                    beating.beat();
+            while !heartbeat_source.stopped.load(Ordering::Relaxed) {
+                if !heartbeat_source.down.load(Ordering::SeqCst) {
+                    heartbeat_source.send_heartbeat();
                 }
-                thread::sleep(BEAT);
+                thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
         Ok(upstream)
     }
 
-    /// Starts again after each end, as another incarnation.
-    fn live(&self, first: Server, address: SocketAddr, work: &Arc<Work>) {
+    /// Restarts the server after each crash, as a new incarnation.
+    fn restart_after_crashes(
+        &self,
+        first: Server,
+        address: SocketAddr,
+        handler: &Arc<RequestHandler>,
+    ) {
         let mut server = first;
-        while !self.ended.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
-            if !server.is_ending() {
+        while !self.stopped.load(Ordering::Relaxed) {
+            thread::sleep(CRASH_POLL_INTERVAL);
+            if !server.is_stopping() {
                 continue;
             }
             self.down.store(true, Ordering::SeqCst);
-            thread::sleep(TIME_TO_RESTART);
-            match Server::start(address, work.clone()) {
+            thread::sleep(RESTART_DELAY);
+            match Server::start(address, handler.clone()) {
                 Ok(next) => server = next,
                 Err(error) => {
-                    println!("upstream at {address} not started again: {error}");
+                    println!("failed to restart the upstream at {address}: {error}");
                     continue;
                 }
             }
-            self.return_anew();
+            self.begin_new_incarnation();
             self.down.store(false, Ordering::SeqCst);
         }
-        server.end();
+        server.stop();
     }
 
-    /// One message to the sidecar; whether it was acknowledged.
-    fn beat(&self) -> bool {
+    /// Sends a heartbeat to the sidecar and returns whether it was acknowledged.
+    fn send_heartbeat(&self) -> bool {
         let id = format!("i-{}", self.incarnation.load(Ordering::SeqCst));
         let body = json!({
             "service": SERVICE,
@@ -162,27 +169,27 @@
         sent.is_ok_and(|answer| answer.status() == 200)
     }
 
-    /// Says that it leaves; whether that was acknowledged.
-    pub fn drain(&self) -> bool {
+    /// Announces that the upstream is draining and returns whether that was acknowledged.
+    pub fn announce_draining(&self) -> bool {
         self.draining.store(true, Ordering::SeqCst);
-        !self.down.load(Ordering::SeqCst) && self.beat()
+        !self.down.load(Ordering::SeqCst) && self.send_heartbeat()
     }
 
-    /// Which incarnation it is; one that ended and began again is another.
+    /// Returns the incarnation number, which increases with every restart.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// Comes back as another incarnation.
-    pub fn return_anew(&self) {
+    /// Continues as a new incarnation that is not draining.
+    pub fn begin_new_incarnation(&self) {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.draining.store(false, Ordering::SeqCst);
     }
 }
 
 impl Upstream {
-    /// Lets its threads end.
-    pub fn finish(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    /// Tells the threads of the upstream to stop.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
