--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -87,7 +87,7 @@
 }
 
 fn run_steps(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
-    let services = ServiceShape::fare_firm();
+    let services = ServiceShape::reference_services();
     for service in &services {
         for zone in 0..2 {
             fleet.start_backend(&service.name, zone, &[])?;
@@ -161,7 +161,7 @@
 fn drain_one_backend(fleet: &mut RunningFleet, report: &mut Report) -> Result<(), crate::Failure> {
     let backend = fleet.backends[0].clone();
     fleet.platform.set_state(&backend.service, backend.address, "leaving");
-    let elapsed = fleet.wait_unused(backend.address, DRAIN_TIMEOUT)?;
+    let elapsed = fleet.wait_until_unused(backend.address, DRAIN_TIMEOUT)?;
     println!(
         "{} gets no new work {:.0} ms after the platform's list said so",
         backend.name,
--- a/crates/lab/src/experiment/faults.rs
+++ b/crates/lab/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! 100,000 calls through everything at once, with real processes.
+//! 100,000 calls to real processes during kills, freezes, drains and rollouts.
 
 use super::fleets;
 use super::Findings;
@@ -9,27 +9,27 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-const RATE: f64 = 1_000.0;
-const THREADS: usize = 96;
-const LEAST_CALLS: u64 = 100_000;
+const CALLS_PER_S: f64 = 1_000.0;
+const CALLER_THREADS: usize = 96;
+const MIN_CALLS: u64 = 100_000;
 const RUN_TIME: Duration = Duration::from_secs(110);
 const PAUSE: Duration = Duration::from_millis(700);
-const FREEZE: Duration = Duration::from_secs(2);
+const FREEZE_DURATION: Duration = Duration::from_secs(2);
 const SEED: u64 = 1;
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(20);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs it.
+/// Runs the experiment.
 pub fn run() -> Result<Findings, crate::Failure> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let services = ServiceShape::fare_firm();
+    let services = ServiceShape::reference_services();
     let mut fleet = fleets::start(folder.path(), fleets::spec(2, 3), &services, 2, &[])?;
-    let running = RunningLoad::start(&plan(&fleet, &services));
+    let load = RunningLoad::start(&load_plan(&fleet, &services));
     let mut faults = Faults::new(services);
     let result = faults.run(&mut fleet);
-    let tally = running.finish();
-    let converged = fleet.wait_in_force(faults.generation, IN_FORCE_LIMIT);
+    let tally = load.finish();
+    let converged = fleet.wait_in_force(faults.generation, IN_FORCE_TIMEOUT);
     let mut findings = Findings::new("faults", "", "");
-    report(&fleet, &tally, &faults, &mut findings);
+    record_results(&fleet, &tally, &faults, &mut findings);
     findings.check(converged.is_ok(), format!("not converged: {converged:?}"));
     let failed = fleet.stop_all();
     findings.check(failed.is_empty(), format!("planned stops failed: {failed:?}"));
@@ -37,7 +37,7 @@
     Ok(findings)
 }
 
-fn plan(fleet: &RunningFleet, services: &[ServiceShape]) -> LoadPlan {
+fn load_plan(fleet: &RunningFleet, services: &[ServiceShape]) -> LoadPlan {
     let kind = |service: &ServiceShape| CallKind {
         service: service.name.clone(),
         is_charge: service.takes_charges,
@@ -46,14 +46,14 @@
     LoadPlan {
         targets: fleets::proxy_addresses(fleet),
         kinds: services.iter().map(kind).collect(),
-        threads: THREADS,
-        rate: RATE,
+        threads: CALLER_THREADS,
+        rate: CALLS_PER_S,
         key_prefix: "faults".to_owned(),
         deadline: None,
     }
 }
 
-/// Which faults have struck so far.
+/// Fault injector; counts the faults injected so far.
 struct Faults {
     random: fastrand::Rng,
     services: Vec<ServiceShape>,
@@ -70,13 +70,13 @@
     fn run(&mut self, fleet: &mut RunningFleet) -> Result<(), crate::Failure> {
         let end = Instant::now() + RUN_TIME;
         while Instant::now() < end {
-            self.strike(fleet)?;
+            self.inject_fault(fleet)?;
             std::thread::sleep(PAUSE);
         }
         Ok(())
     }
 
-    fn strike(&mut self, fleet: &mut RunningFleet) -> Result<(), crate::Failure> {
+    fn inject_fault(&mut self, fleet: &mut RunningFleet) -> Result<(), crate::Failure> {
         let kind = self.random.u32(0..7);
         let name = match kind {
             0 => self.kill_backend(fleet)?,
@@ -93,11 +93,11 @@
 
     fn kill_backend(&mut self, fleet: &mut RunningFleet) -> Result<&'static str, crate::Failure> {
         let position = self.random.usize(..fleet.backends.len());
-        let place = fleet.backends[position].clone();
-        kill(fleet, &place.name);
+        let backend = fleet.backends[position].clone();
+        kill(fleet, &backend.name);
         std::thread::sleep(PAUSE / 2);
         fleet.run_backend(position, &[])?;
-        fleet.platform.next_incarnation(&place.service, place.address);
+        fleet.platform.next_incarnation(&backend.service, backend.address);
         Ok("backend_killed")
     }
 
@@ -129,7 +129,7 @@
         let name = &names[self.random.usize(..names.len())];
         if let Some(process) = fleet.processes.get_mut(name) {
             process.freeze();
-            std::thread::sleep(FREEZE);
+            std::thread::sleep(FREEZE_DURATION);
             process.resume();
         }
         Ok(if role == "control" { "control_frozen" } else { "relay_frozen" })
@@ -137,15 +137,15 @@
 
     fn drain_backend(&mut self, fleet: &mut RunningFleet) -> Result<&'static str, crate::Failure> {
         let position = self.random.usize(..fleet.backends.len());
-        let place = fleet.backends[position].clone();
-        fleet.platform.set_state(&place.service, place.address, "leaving");
+        let backend = fleet.backends[position].clone();
+        fleet.platform.set_state(&backend.service, backend.address, "leaving");
         std::thread::sleep(PAUSE);
-        if let Some(process) = fleet.processes.get_mut(&place.name) {
+        if let Some(process) = fleet.processes.get_mut(&backend.name) {
             process.terminate();
-            process.wait_exit(IN_FORCE_LIMIT);
+            process.wait_exit(IN_FORCE_TIMEOUT);
         }
         fleet.run_backend(position, &[])?;
-        fleet.platform.next_incarnation(&place.service, place.address);
+        fleet.platform.next_incarnation(&backend.service, backend.address);
         Ok("backend_drained")
     }
 
@@ -165,7 +165,7 @@
     }
 }
 
-fn report(fleet: &RunningFleet, tally: &Tally, faults: &Faults, findings: &mut Findings) {
+fn record_results(fleet: &RunningFleet, tally: &Tally, faults: &Faults, findings: &mut Findings) {
     let mut runs = BTreeMap::new();
     for backend in &fleet.backends {
         read_runs(&backend.runs_file, &mut runs);
@@ -185,7 +185,7 @@
     for (name, count) in &faults.counts {
         findings.set(format!("faults_{name}"), f64::from(*count));
     }
-    findings.check(tally.sent >= LEAST_CALLS, format!("only {} calls", tally.sent));
+    findings.check(tally.sent >= MIN_CALLS, format!("only {} calls", tally.sent));
     findings.check(tally.wrong == 0, format!("wrong answers: {:?}", tally.examples));
     findings.check(tally.cut == 0, format!("cut calls: {:?}", tally.examples));
     findings.check(contradictions.is_empty(), contradictions.join("; "));
--- a/crates/lab/src/experiment/fleets.rs
+++ b/crates/lab/src/experiment/fleets.rs
@@ -1,4 +1,4 @@
-//! Small fleets of whole processes for experiments with calls.
+//! Small fleets without hollow proxies for experiments with calls.
 
 use crate::fleet::{bundle_toml, FleetLayout, FleetSpec, RunningFleet, ServiceShape, ZoneSpec};
 use crate::stand_in::caller::{CallKind, LoadPlan};
@@ -7,9 +7,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(15);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A fleet with one region, zones alike, three replicas.
+/// Returns the spec of a fleet with one region, equal zones and three control replicas.
 pub fn spec(zones: usize, proxies_per_zone: usize) -> FleetSpec {
     let zone = |number| ZoneSpec {
         name: format!("zone-{number}"),
@@ -28,7 +28,8 @@
     }
 }
 
-/// Starts a fleet with back ends for each service in each zone, and rolls the first bundle out.
+/// Starts a fleet with `backends_per_zone` backends of each service in each zone, and rolls out the
+/// first bundle.
 pub fn start(
     folder: &Path,
     spec: FleetSpec,
@@ -45,16 +46,19 @@
         }
     }
     fleet.start_all()?;
-    first_bundle(&fleet, services)?;
+    roll_out_first_bundle(&fleet, services)?;
     Ok(fleet)
 }
 
-/// Rolls the first bundle out, and waits until proxies know where back ends are.
-pub fn first_bundle(fleet: &RunningFleet, services: &[ServiceShape]) -> Result<(), crate::Failure> {
+/// Rolls out the first bundle and waits until every proxy knows backend addresses.
+pub fn roll_out_first_bundle(
+    fleet: &RunningFleet,
+    services: &[ServiceShape],
+) -> Result<(), crate::Failure> {
     let text = bundle_toml(services, 0);
     let generation = fleet.roll_out(&text, 1, 0, vec![Stage::All], None)?;
-    fleet.wait_in_force(generation, IN_FORCE_LIMIT)?;
-    fleet.wait_until("endpoints on every proxy", IN_FORCE_LIMIT, |fleet| {
+    fleet.wait_in_force(generation, IN_FORCE_TIMEOUT)?;
+    fleet.wait_until("endpoints on every proxy", IN_FORCE_TIMEOUT, |fleet| {
         fleet.layout.proxies.iter().all(|proxy| {
             let status = fleet.status(proxy.settings.metrics_listen);
             status.is_some_and(|status| status["upstreams"].to_string().contains("127.0.0.1"))
@@ -62,8 +66,8 @@
     })
 }
 
-/// Reads only, from the given addresses.
-pub fn reads(service: &str, targets: Vec<SocketAddr>, threads: usize, rate: f64) -> LoadPlan {
+/// Returns a load of read calls to the given proxies or backends.
+pub fn read_load(service: &str, targets: Vec<SocketAddr>, threads: usize, rate: f64) -> LoadPlan {
     LoadPlan {
         targets,
         kinds: vec![CallKind { service: service.to_owned(), is_charge: false, answer_bytes: 256 }],
@@ -74,7 +78,7 @@
     }
 }
 
-/// Addresses of all proxies for callers.
+/// Returns the addresses on which the proxies listen for callers.
 pub fn proxy_addresses(fleet: &RunningFleet) -> Vec<SocketAddr> {
     fleet.layout.proxies.iter().map(|proxy| proxy.settings.listen).collect()
 }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,5 @@
-//! `chutecove-lab experiment NAME`: one question, measured, compared and drawn.
+//! `chutecove-lab experiment NAME`: runs one measurement, compares it with an earlier run and plots
+//! it.
 
 mod amplification;
 mod calls;
@@ -23,37 +24,37 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 const BRIEF: &str = "Usage: chutecove-lab experiment NAME [--out DIR] [--against FILE]";
 
-/// Figures by name; the name ends in the unit.
+/// Measured values by name; the name ends in the unit.
 pub type Figures = BTreeMap<String, f64>;
 
-/// A line of a plot.
+/// One line of a plot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Series {
-    /// What the line shows.
+    /// Label of the line.
     pub name: String,
-    /// Points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// What an experiment found.
+/// Results of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Findings {
     /// Name of the experiment.
     pub name: String,
-    /// Figures.
+    /// Measured values.
     pub figures: Figures,
     /// Label of the horizontal axis, with its unit.
     pub x_label: String,
     /// Label of the vertical axis, with its unit.
     pub y_label: String,
-    /// Lines.
+    /// Lines of the plot.
     pub series: Vec<Series>,
-    /// Broken promises.
+    /// Violated bounds and guarantees.
     pub problems: Vec<String>,
 }
 
 impl Findings {
-    /// Nothing found yet.
+    /// Creates results without values.
     pub fn new(name: &str, x_label: &str, y_label: &str) -> Self {
         Findings {
             name: name.to_owned(),
@@ -65,19 +66,19 @@
         }
     }
 
-    /// Adds a figure.
+    /// Sets a measured value.
     pub fn set(&mut self, name: impl Into<String>, value: f64) {
         self.figures.insert(name.into(), value);
     }
 
-    /// Notes a broken promise.
+    /// Records `problem` if a check does not hold.
     pub fn check(&mut self, holds: bool, problem: impl Into<String>) {
         if !holds {
             self.problems.push(problem.into());
         }
     }
 
-    /// The middle of some values.
+    /// Returns the median of the values (the upper one for an even count), or 0 without values.
     pub fn median(values: &[f64]) -> f64 {
         let mut sorted = values.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -85,9 +86,9 @@
     }
 }
 
-type Run = fn() -> Result<Findings, crate::Failure>;
+type ExperimentFn = fn() -> Result<Findings, crate::Failure>;
 
-const EXPERIMENTS: [(&str, &str, Run); 12] = [
+const EXPERIMENTS: [(&str, &str, ExperimentFn); 12] = [
     (
         "convergence",
         "time until a change is in force, calm and with the leader killed",
@@ -106,7 +107,7 @@
     ("faults", "100,000 calls through kills, freezes, drains and rollouts", faults::run),
 ];
 
-/// Runs the named experiment; an error means that a promise broke.
+/// Runs the named experiment; returns an error if a bound or guarantee was violated.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let mut options = Options::new();
     options.optopt("", "out", "folder for JSON and plot (results)", "DIR");
@@ -120,8 +121,8 @@
         }
         return Ok(());
     };
-    let found = EXPERIMENTS.iter().find(|(known, _, _)| known == name);
-    let (_, _, run) = found.ok_or_else(|| format!("'{name}' is not an experiment"))?;
+    let experiment = EXPERIMENTS.iter().find(|(known, _, _)| known == name);
+    let (_, _, run) = experiment.ok_or_else(|| format!("'{name}' is not an experiment"))?;
     let progress = ProgressBar::new_spinner();
     progress.set_message(format!("measuring {name}"));
     progress.enable_steady_tick(PROGRESS_INTERVAL);
@@ -157,10 +158,13 @@
 
 fn print(findings: &Findings, earlier: Option<&Findings>) {
     for (name, value) in &findings.figures {
-        let before = earlier.and_then(|earlier| earlier.figures.get(name));
-        match before {
-            Some(before) if *before != 0.0 => {
-                println!("{name:<44} {value:>12.3}   {:>6.2} times {before:.3}", value / before);
+        let earlier_value = earlier.and_then(|earlier| earlier.figures.get(name));
+        match earlier_value {
+            Some(earlier_value) if *earlier_value != 0.0 => {
+                println!(
+                    "{name:<44} {value:>12.3}   {:>6.2} times {earlier_value:.3}",
+                    value / earlier_value
+                );
             }
             _ => println!("{name:<44} {value:>12.3}"),
         }
--- a/crates/lab/src/experiment/plot.rs
+++ b/crates/lab/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! Line plots as SVG.
+//! Line plots in SVG.
 
 use super::Findings;
 use plotters::prelude::*;
@@ -9,7 +9,7 @@
 const LABEL_AREA: u32 = 64;
 const FONT: (&str, u32) = ("sans-serif", 18);
 
-/// Draws all lines of an experiment.
+/// Draws all series of an experiment into an SVG file.
 pub fn draw(findings: &Findings, path: &Path) -> Result<(), crate::Failure> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     draw_on(&root, findings).map_err(|error| error.to_string())?;
@@ -22,14 +22,14 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     root.fill(&WHITE)?;
     let points = || findings.series.iter().flat_map(|series| &series.points);
-    let most_x = points().map(|point| point.0).fold(1e-9, f64::max);
-    let most_y = points().map(|point| point.1).fold(1e-9, f64::max);
+    let max_x = points().map(|point| point.0).fold(1e-9, f64::max);
+    let max_y = points().map(|point| point.1).fold(1e-9, f64::max);
     let mut chart = ChartBuilder::on(root)
         .caption(&findings.name, FONT)
         .margin(MARGIN)
         .x_label_area_size(LABEL_AREA)
         .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..most_x * 1.02, 0.0..most_y * 1.08)?;
+        .build_cartesian_2d(0.0..max_x * 1.02, 0.0..max_y * 1.08)?;
     chart
         .configure_mesh()
         .x_desc(&findings.x_label)
--- a/crates/lab/src/experiment/report.rs
+++ b/crates/lab/src/experiment/report.rs
@@ -1,11 +1,11 @@
-//! `chutecove-lab report`: all findings of a folder on one page.
+//! `chutecove-lab report`: collects the results of all experiments of a folder on one page.
 
 use super::{load, Findings};
 use getopts::Options;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Writes `report.md` beside the findings.
+/// Writes `report.md` into the folder of the results.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let mut options = Options::new();
     options.optopt("", "out", "folder of the findings (results)", "DIR");
@@ -13,7 +13,7 @@
     let folder = PathBuf::from(matches.opt_str("out").unwrap_or_else(|| "results".to_owned()));
     let mut text = "# Measured\n".to_owned();
     for path in findings_files(&folder)? {
-        add(&mut text, &load(&path)?);
+        add_findings(&mut text, &load(&path)?);
     }
     let path = folder.join("report.md");
     std::fs::write(&path, text).map_err(|error| error.to_string())?;
@@ -31,7 +31,7 @@
     Ok(paths)
 }
 
-fn add(text: &mut String, findings: &Findings) {
+fn add_findings(text: &mut String, findings: &Findings) {
     let _ = write!(text, "\n## {}\n\n| Figure | Value |\n|---|---|\n", findings.name);
     for (name, value) in &findings.figures {
         let _ = writeln!(text, "| {name} | {value:.3} |");
--- a/crates/lab/src/fleet/bundles.rs
+++ b/crates/lab/src/fleet/bundles.rs
@@ -27,7 +27,7 @@
     }
 
     /// The fare firm's services.
-    pub fn fare_firm() -> Vec<Self> {
+    pub fn reference_services() -> Vec<Self> {
         vec![
             ServiceShape::reads("balance", 20, 130),
             ServiceShape::charges("payments", 20, 130),
--- a/crates/lab/src/fleet/layout.rs
+++ b/crates/lab/src/fleet/layout.rs
@@ -53,7 +53,7 @@
 
 /// One control replica.
 #[derive(Clone, Debug)]
-pub struct VoterPlace {
+pub struct VoterConfig {
     /// Member id.
     pub id: u64,
     /// Its settings file.
@@ -64,7 +64,7 @@
 
 /// One relay.
 #[derive(Clone, Debug)]
-pub struct RelayPlace {
+pub struct RelayConfig {
     /// Its settings file.
     pub settings_file: PathBuf,
     /// Its settings.
@@ -73,7 +73,7 @@
 
 /// One proxy.
 #[derive(Clone, Debug)]
-pub struct ProxyPlace {
+pub struct ProxyConfig {
     /// Its settings file.
     pub settings_file: PathBuf,
     /// Its settings.
@@ -95,13 +95,13 @@
     /// Where the platform's list is.
     pub platform: SocketAddr,
     /// Control replicas.
-    pub voters: Vec<VoterPlace>,
+    pub voters: Vec<VoterConfig>,
     /// Relays.
-    pub relays: Vec<RelayPlace>,
+    pub relays: Vec<RelayConfig>,
     /// Proxies.
-    pub proxies: Vec<ProxyPlace>,
+    pub proxies: Vec<ProxyConfig>,
     /// Proxies that share processes.
-    pub hollow_proxies: Vec<ProxyPlace>,
+    pub hollow_proxies: Vec<ProxyConfig>,
 }
 
 impl FleetLayout {
@@ -123,9 +123,9 @@
             proxies: Vec::new(),
             hollow_proxies: Vec::new(),
         };
-        layout.place_voters()?;
-        layout.place_relays()?;
-        layout.place_proxies()?;
+        layout.configure_voters()?;
+        layout.configure_relays()?;
+        layout.configure_proxies()?;
         Ok(layout)
     }
 
@@ -134,7 +134,7 @@
         self.voters.iter().map(|voter| voter.settings.api_listen).collect()
     }
 
-    fn place_voters(&mut self) -> Result<(), crate::Failure> {
+    fn configure_voters(&mut self) -> Result<(), crate::Failure> {
         let peers: Vec<PeerSettings> = (1..=self.spec.voters as u64)
             .map(|id| PeerSettings {
                 id,
@@ -143,13 +143,13 @@
             })
             .collect();
         for peer in &peers {
-            self.place_voter(peer.clone(), peers.clone())?;
+            self.configure_voter(peer.clone(), peers.clone())?;
         }
         Ok(())
     }
 
     /// Writes the settings of one control replica.
-    pub fn place_voter(
+    pub fn configure_voter(
         &mut self,
         own: PeerSettings,
         peer: Vec<PeerSettings>,
@@ -176,7 +176,7 @@
             checkpoint_bytes: 4 * 1024 * 1024,
         };
         let settings_file = self.write_settings(&name, &settings)?;
-        self.voters.push(VoterPlace { id: own.id, settings_file, settings });
+        self.voters.push(VoterConfig { id: own.id, settings_file, settings });
         Ok(())
     }
 
@@ -192,7 +192,7 @@
         peers.sort_by_key(|peer| peer.id);
         peers.dedup_by_key(|peer| peer.id);
         peers.push(own.clone());
-        self.place_voter(own, peers)?;
+        self.configure_voter(own, peers)?;
         let newcomer = self.voters.len() - 1;
         let listed = self.voters[newcomer].settings.peer.clone();
         for position in 0..newcomer {
@@ -253,7 +253,7 @@
         Ok(seen)
     }
 
-    fn place_relays(&mut self) -> Result<(), crate::Failure> {
+    fn configure_relays(&mut self) -> Result<(), crate::Failure> {
         let mut places = Vec::new();
         for zone in self.spec.zones.clone() {
             for number in 1..=zone.relays {
@@ -286,33 +286,33 @@
                 claim_groups: self.spec.claim_groups,
             };
             let settings_file = self.write_settings(name, &settings)?;
-            self.relays.push(RelayPlace { settings_file, settings });
+            self.relays.push(RelayConfig { settings_file, settings });
         }
         Ok(())
     }
 
-    fn place_proxies(&mut self) -> Result<(), crate::Failure> {
+    fn configure_proxies(&mut self) -> Result<(), crate::Failure> {
         for zone in self.spec.zones.clone() {
             for number in 1..=zone.proxies {
                 let name = format!("proxy-{}-{number}", zone.name);
-                let place = self.place_proxy(&name, &zone, Vec::new())?;
+                let place = self.configure_proxy(&name, &zone, Vec::new())?;
                 self.proxies.push(place);
             }
             for number in 1..=zone.hollow_proxies {
                 let name = format!("hollow-{}-{number}", zone.name);
-                let place = self.place_proxy(&name, &zone, Vec::new())?;
+                let place = self.configure_proxy(&name, &zone, Vec::new())?;
                 self.hollow_proxies.push(place);
             }
         }
         Ok(())
     }
 
-    fn place_proxy(
+    fn configure_proxy(
         &mut self,
         name: &str,
         zone: &ZoneSpec,
         local_backend: Vec<LocalBackendSettings>,
-    ) -> Result<ProxyPlace, crate::Failure> {
+    ) -> Result<ProxyConfig, crate::Failure> {
         let settings = ProxySettings {
             fleet: self.spec.fleet.clone(),
             name: name.to_owned(),
@@ -335,7 +335,7 @@
             claim_keep_s: 3_600,
         };
         let settings_file = self.write_settings(name, &settings)?;
-        Ok(ProxyPlace { settings_file, settings })
+        Ok(ProxyConfig { settings_file, settings })
     }
 
     /// All relays, as proxies of a zone reach them.
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -8,7 +8,7 @@
 mod running;
 
 pub use bundles::{bundle_toml, ServiceShape};
-pub use layout::{FleetLayout, FleetSpec, ProxyPlace, ZoneSpec};
+pub use layout::{FleetLayout, FleetSpec, ProxyConfig, ZoneSpec};
 pub use ports::PortRange;
 pub use process::ManagedProcess;
 pub use running::{send, RunningFleet};
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -18,7 +18,7 @@
 
 /// One stand-in back end.
 #[derive(Clone, Debug)]
-pub struct BackendPlace {
+pub struct BackendConfig {
     /// Name.
     pub name: String,
     /// Service.
@@ -36,7 +36,7 @@
     /// The platform's list.
     pub platform: PlatformList,
     /// Stand-in back ends.
-    pub backends: Vec<BackendPlace>,
+    pub backends: Vec<BackendConfig>,
     /// Processes by name.
     pub processes: BTreeMap<String, ManagedProcess>,
     agent: ureq::Agent,
@@ -113,7 +113,7 @@
         let name = format!("backend-{service}-{}", self.backends.len() + 1);
         let address = self.layout.ports.next_address();
         let runs_file = self.layout.folder.join(format!("{name}.runs"));
-        let place = BackendPlace { name, service: service.to_owned(), address, runs_file };
+        let place = BackendConfig { name, service: service.to_owned(), address, runs_file };
         self.backends.push(place);
         self.run_backend(self.backends.len() - 1, more)?;
         Ok(self.backends.len() - 1)
@@ -229,7 +229,7 @@
     }
 
     /// Waits until no proxy uses an upstream any more; returns how long that took.
-    pub fn wait_unused(
+    pub fn wait_until_unused(
         &self,
         upstream: SocketAddr,
         limit: Duration,
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,8 +1,8 @@
-//! A large fleet: shape, processes and what is in force where.
+//! A large fleet: its shape, its processes and the generation in force on each proxy.
 
 use super::usage::Usage;
 use crate::fleet::{
-    bundle_toml, FleetLayout, FleetSpec, ProxyPlace, RunningFleet, ServiceShape, ZoneSpec,
+    bundle_toml, FleetLayout, FleetSpec, ProxyConfig, RunningFleet, ServiceShape, ZoneSpec,
 };
 use crate::hollow::HollowStatus;
 use crate::stand_in::caller::{CallKind, LoadPlan, RunningLoad};
@@ -14,35 +14,35 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Hollow proxies in one process.
+/// Hollow proxies per process.
 const HOLLOW_PER_PROCESS: usize = 50;
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(90);
-const POLL: Duration = Duration::from_millis(50);
-/// Calls a second to all real proxies together, so that they are not idle.
-const CALL_RATE: f64 = 100.0;
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(90);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Calls per second to all real proxies together, so that they are not idle.
+const CALLS_PER_S: f64 = 100.0;
 const CALLER_THREADS: usize = 4;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// Proxies in all.
+    /// Number of proxies, real and hollow.
     pub nodes: usize,
-    /// Proxies with a process of their own and with calls.
+    /// Number of real proxies, which run in their own process and receive calls.
     pub real: usize,
-    /// Control replicas.
+    /// Number of control replicas.
     pub voters: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones, each with a relay.
+    /// Number of zones, each with one relay.
     pub zones: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Delays.
+    /// Delays between zones and regions.
     pub delays: DelayPlan,
 }
 
 impl FleetShape {
-    /// The size of letter 1, or a part of it with as many zones.
+    /// The size expected in two years (5 regions, 16 zones, 59 services) with `nodes` proxies.
     pub fn two_years(nodes: usize) -> Self {
         FleetShape {
             nodes,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A deployment of today's shape: the fare firm's zones and delays.
+    /// The current size of a deployment (1 region, 4 zones, 4 services) with `nodes` proxies.
     pub fn today(nodes: usize) -> Self {
         FleetShape {
             nodes,
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Services of the bundle.
+    /// Returns the services of the bundle.
     pub fn service_shapes(&self) -> Vec<ServiceShape> {
-        let mut services = ServiceShape::fare_firm();
+        let mut services = ServiceShape::reference_services();
         for number in services.len()..self.services {
             services.push(ServiceShape::reads(&format!("service-{number}"), 20, 130));
         }
@@ -108,33 +108,39 @@
 
 /// A running fleet of a shape.
 pub struct ScaleFleet {
-    /// Its shape.
+    /// Size of the fleet.
     pub shape: FleetShape,
-    /// Processes and addresses.
-    pub fleet: RunningFleet,
+    /// Processes and addresses of the fleet.
+    pub running: RunningFleet,
     services: Vec<ServiceShape>,
-    hollow: Vec<(String, SocketAddr)>,
+    hollow_processes: Vec<(String, SocketAddr)>,
     generation: u64,
     load: Option<RunningLoad>,
 }
 
 impl ScaleFleet {
-    /// Starts everything and puts a first bundle in force.
+    /// Starts all processes, waits until a first bundle is in force and starts the calls.
     pub fn start(folder: &Path, shape: FleetShape) -> Result<Self, crate::Failure> {
         let layout = FleetLayout::create(folder, shape.spec())?;
-        let mut fleet = RunningFleet::prepare(layout)?;
+        let mut running = RunningFleet::prepare(layout)?;
         let services = shape.service_shapes();
         for service in services.iter().take(3) {
             for zone in [0, 1] {
-                fleet.start_backend(&service.name, zone, &[])?;
+                running.start_backend(&service.name, zone, &[])?;
             }
         }
-        list_other_upstreams(&mut fleet, &services, shape.nodes);
-        fleet.start_all()?;
-        let mut scale =
-            ScaleFleet { shape, fleet, services, hollow: Vec::new(), generation: 0, load: None };
+        list_placeholder_upstreams(&mut running, &services, shape.nodes);
+        running.start_all()?;
+        let mut scale = ScaleFleet {
+            shape,
+            running,
+            services,
+            hollow_processes: Vec::new(),
+            generation: 0,
+            load: None,
+        };
         scale.start_hollow()?;
-        scale.change()?;
+        scale.roll_out_change()?;
         scale.wait_in_force(scale.generation)?;
         scale.start_load();
         Ok(scale)
@@ -142,42 +148,44 @@
 
     /// Starts all hollow processes.
     pub fn start_hollow(&mut self) -> Result<(), crate::Failure> {
-        let places: Vec<Vec<ProxyPlace>> = self
-            .fleet
+        let configs: Vec<Vec<ProxyConfig>> = self
+            .running
             .layout
             .hollow_proxies
             .chunks(HOLLOW_PER_PROCESS)
-            .map(<[ProxyPlace]>::to_vec)
+            .map(<[ProxyConfig]>::to_vec)
             .collect();
-        self.hollow.clear();
-        for (number, places) in places.iter().enumerate() {
+        self.hollow_processes.clear();
+        for (number, configs) in configs.iter().enumerate() {
             let name = format!("hollow-{}", number + 1);
-            let status = self.fleet.layout.ports.next_address();
+            let status = self.running.layout.ports.next_address();
             let mut arguments =
                 vec!["hollow".to_owned(), "--status".to_owned(), status.to_string()];
-            arguments.extend(places.iter().map(|place| place.settings_file.display().to_string()));
-            self.fleet.start(&name, &arguments)?;
-            self.hollow.push((name, status));
+            arguments
+                .extend(configs.iter().map(|config| config.settings_file.display().to_string()));
+            self.running.start(&name, &arguments)?;
+            self.hollow_processes.push((name, status));
         }
         Ok(())
     }
 
-    /// Ends every proxy at once and starts all again.
+    /// Kills all proxies and starts them again.
     pub fn restart_all_proxies(&mut self) -> Result<(), crate::Failure> {
-        for (name, process) in &mut self.fleet.processes {
+        for (name, process) in &mut self.running.processes {
             if name.starts_with("hollow-") || name.starts_with("proxy-") {
                 process.kill();
             }
         }
         self.start_hollow()?;
-        for position in 0..self.fleet.layout.proxies.len() {
-            self.fleet.start_proxy(position)?;
+        for position in 0..self.running.layout.proxies.len() {
+            self.running.start_proxy(position)?;
         }
         Ok(())
     }
 
     fn start_load(&mut self) {
-        let targets = self.fleet.layout.proxies.iter().map(|place| place.settings.listen).collect();
+        let targets =
+            self.running.layout.proxies.iter().map(|config| config.settings.listen).collect();
         let kinds = self.services.iter().take(3).map(|service| CallKind {
             service: service.name.clone(),
             is_charge: false,
@@ -187,68 +195,69 @@
             targets,
             kinds: kinds.collect(),
             threads: CALLER_THREADS,
-            rate: CALL_RATE,
+            rate: CALLS_PER_S,
             key_prefix: "scale".to_owned(),
             deadline: None,
         }));
     }
 
-    /// Rolls a bundle out in which one route changed; returns its generation, and when the
-    /// operator sent the roll, microseconds since 1970.
-    pub fn change(&mut self) -> Result<(u64, u64), crate::Failure> {
+    /// Rolls out a bundle in which one route changed. Returns its generation and the time at which
+    /// the operator requested the rollout, microseconds since 1970.
+    pub fn roll_out_change(&mut self) -> Result<(u64, u64), crate::Failure> {
         let revision = self.generation as u32 + 1;
         let text = bundle_toml(&self.services, revision);
         let version = u64::from(revision);
-        let before = self.fleet.submit_and_approve(&text, version)?;
-        let asked_at = now_us();
-        let generation = self.fleet.roll(before, self.generation, vec![Stage::All], None)?;
+        let digest = self.running.submit_and_approve(&text, version)?;
+        let requested_at = now_us();
+        let generation = self.running.roll(digest, self.generation, vec![Stage::All], None)?;
         self.generation = generation;
-        Ok((generation, asked_at))
+        Ok((generation, requested_at))
     }
 
-    /// Size of the newest bundle as a compressed snapshot, bytes.
+    /// Returns the size of the newest bundle as a compressed snapshot, bytes.
     pub fn snapshot_bytes(&self) -> Result<usize, crate::Failure> {
-        let path = self.fleet.layout.folder.join(format!("bundle-{}.toml", self.generation));
-        let key = self.fleet.layout.keys.seal_key();
+        let path = self.running.layout.folder.join(format!("bundle-{}.toml", self.generation));
+        let key = self.running.layout.keys.seal_key();
         let bundle = bundle::source::load(&path, Some(key)).map_err(|error| error.to_string())?;
         Ok(bundle::BundleUpdate::compress(&bundle).len())
     }
 
-    /// Newest generation.
+    /// Returns the newest generation.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// When each proxy applied each generation, microseconds since 1970, hollow and real ones.
+    /// Returns the generation and time (microseconds since 1970) of every application on a real or
+    /// hollow proxy.
     pub fn applied(&self) -> Vec<(u64, u64)> {
         let mut applied: Vec<(u64, u64)> =
             self.hollow_status().into_iter().flat_map(|status| status.applied).collect();
-        for place in &self.fleet.layout.proxies {
-            let log = self.fleet.layout.folder.join(format!("{}.log", place.settings.name));
+        for config in &self.running.layout.proxies {
+            let log = self.running.layout.folder.join(format!("{}.log", config.settings.name));
             let text = std::fs::read_to_string(log).unwrap_or_default();
-            applied.extend(text.lines().filter_map(applied_in_line));
+            applied.extend(text.lines().filter_map(parse_applied_line));
         }
         applied
     }
 
-    /// What every hollow process says.
+    /// Returns the status of every hollow process that responds.
     pub fn hollow_status(&self) -> Vec<HollowStatus> {
-        let read = |status| -> Option<HollowStatus> {
-            serde_json::from_str(&self.fleet.get(status, "/")?).ok()
+        let fetch = |status| -> Option<HollowStatus> {
+            serde_json::from_str(&self.running.get(status, "/")?).ok()
         };
-        self.hollow.iter().filter_map(|(_, status)| read(*status)).collect()
+        self.hollow_processes.iter().filter_map(|(_, status)| fetch(*status)).collect()
     }
 
-    /// Number of proxies that have at least this generation in force.
+    /// Returns the number of proxies that have at least this generation in force.
     pub fn count_in_force(&self, generation: u64) -> usize {
         let hollow = self.hollow_status();
         let hollow = hollow.iter().flat_map(|status| &status.generations);
-        let hollow = hollow.filter(|held| **held >= generation).count();
-        let real = self.fleet.generations();
-        hollow + real.values().filter(|held| **held >= Some(generation)).count()
+        let hollow = hollow.filter(|in_force| **in_force >= generation).count();
+        let real = self.running.generations();
+        hollow + real.values().filter(|in_force| **in_force >= Some(generation)).count()
     }
 
-    /// Waits until a generation is in force on every proxy.
+    /// Waits until a generation is in force on every proxy and returns how long that took.
     pub fn wait_in_force(&self, generation: u64) -> Result<Duration, crate::Failure> {
         let start = Instant::now();
         loop {
@@ -256,15 +265,15 @@
             if count == self.shape.nodes {
                 return Ok(start.elapsed());
             }
-            if start.elapsed() > IN_FORCE_LIMIT {
+            if start.elapsed() > IN_FORCE_TIMEOUT {
                 let nodes = self.shape.nodes;
                 return Err(format!("generation {generation} is on {count} of {nodes} proxies"));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Bytes of frames between all proxies and relays so far.
+    /// Returns the frame bytes exchanged between proxies and relays so far.
     pub fn control_bytes(&self) -> u64 {
         let hollow: u64 = self
             .hollow_status()
@@ -275,47 +284,55 @@
             "chutecove_proxy_control_sent_bytes_total",
             "chutecove_proxy_control_received_bytes_total",
         ];
-        let of = |metrics| -> f64 {
-            names.iter().filter_map(|name| self.fleet.metric(metrics, name)).sum()
+        let control_bytes_of = |metrics| -> f64 {
+            names.iter().filter_map(|name| self.running.metric(metrics, name)).sum()
         };
-        let places = &self.fleet.layout.proxies;
-        let real: f64 = places.iter().map(|place| of(place.settings.metrics_listen)).sum();
+        let proxies = &self.running.layout.proxies;
+        let real: f64 =
+            proxies.iter().map(|proxy| control_bytes_of(proxy.settings.metrics_listen)).sum();
         hollow + real as u64
     }
 
-    /// Position of the leader among the control replicas.
+    /// Returns the index of the leader among the control replicas.
     pub fn leader(&self) -> Option<usize> {
-        let voters = &self.fleet.layout.voters;
+        let voters = &self.running.layout.voters;
         let status =
-            voters.iter().find_map(|voter| self.fleet.status(voter.settings.metrics_listen))?;
+            voters.iter().find_map(|voter| self.running.status(voter.settings.metrics_listen))?;
         let leader = status["groups"]["config"]["leader"].as_u64().or(status["leader"].as_u64())?;
         voters.iter().position(|voter| voter.id == leader)
     }
 
-    /// Lists an upstream again as another incarnation, or as leaving.
+    /// Updates the incarnation and state of a placeholder upstream in the platform's list.
     pub fn set_upstream(&self, number: usize, incarnation: u64, state: &str) {
-        let (service, address) = other_upstream(&self.services, number);
-        self.fleet.platform.set(listed(&self.fleet, service, address, number, incarnation, state));
+        let (service, address) = placeholder_upstream(&self.services, number);
+        self.running.platform.set(platform_entry(
+            &self.running,
+            service,
+            address,
+            number,
+            incarnation,
+            state,
+        ));
     }
 
-    /// Processor time and memory of every process, by name.
+    /// Returns the CPU time and memory of every process, by name.
     pub fn usage(&self) -> BTreeMap<String, Usage> {
         let usage = |process: &crate::fleet::ManagedProcess| Usage::of(process.id());
-        let processes = self.fleet.processes.iter();
+        let processes = self.running.processes.iter();
         processes.filter_map(|(name, process)| Some((name.clone(), usage(process)?))).collect()
     }
 
-    /// Number of processes that run.
+    /// Returns the number of running processes.
     pub fn process_count(&self) -> usize {
         self.usage().len()
     }
 
-    /// Resident memory of all processes, MB.
+    /// Returns the resident memory of all processes, MB.
     pub fn total_memory_mb(&self) -> f64 {
         self.usage().values().map(|usage| usage.resident_bytes as f64 / 1e6).sum()
     }
 
-    /// Ends everything.
+    /// Stops the calls, prints their counts and stops all processes.
     pub fn stop(&mut self) {
         if let Some(load) = self.load.take() {
             let tally = load.finish();
@@ -324,18 +341,18 @@
                 tally.sent, tally.answered, tally.refused, tally.cut, tally.wrong
             );
         }
-        for problem in self.fleet.stop_all() {
+        for problem in self.running.stop_all() {
             eprintln!("{problem}");
         }
     }
 }
 
-/// Microseconds since 1970.
+/// Returns the current time, microseconds since 1970.
 pub fn now_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-fn applied_in_line(line: &str) -> Option<(u64, u64)> {
+fn parse_applied_line(line: &str) -> Option<(u64, u64)> {
     if !line.contains("generation_applied") {
         return None;
     }
@@ -345,25 +362,26 @@
     Some((field("generation=")?.parse().ok()?, at_us))
 }
 
-/// One upstream a node; those beyond the few real back ends are only listed.
-fn list_other_upstreams(fleet: &mut RunningFleet, services: &[ServiceShape], nodes: usize) {
+/// Lists one placeholder upstream per node, in addition to the few real backends.
+fn list_placeholder_upstreams(fleet: &mut RunningFleet, services: &[ServiceShape], nodes: usize) {
     for number in 0..nodes {
-        let (service, address) = other_upstream(services, number);
-        let machine = listed(fleet, service, address, number, 1, "live");
+        let (service, address) = placeholder_upstream(services, number);
+        let machine = platform_entry(fleet, service, address, number, 1, "live");
         fleet.platform.set(machine);
     }
 }
 
-/// The first three services have real back ends, unless there are no others.
-fn other_upstream(services: &[ServiceShape], number: usize) -> (&str, SocketAddr) {
-    let others = if services.len() > 3 { &services[3..] } else { services };
-    let service = &others[number % others.len()].name;
-    // Addresses that nothing listens on: on another loopback address, where nothing is sent.
+/// Returns service and address of a placeholder upstream. The first three services have real
+/// backends and get no placeholders, unless there are no other services.
+fn placeholder_upstream(services: &[ServiceShape], number: usize) -> (&str, SocketAddr) {
+    let placeholder_services = if services.len() > 3 { &services[3..] } else { services };
+    let service = &placeholder_services[number % placeholder_services.len()].name;
+    // Nothing listens on these loopback addresses, and no calls are sent to these services.
     let address = SocketAddr::from(([127, 1, (number / 200) as u8, (number % 200) as u8 + 1], 9));
     (service, address)
 }
 
-fn listed(
+fn platform_entry(
     fleet: &RunningFleet,
     service: &str,
     address: SocketAddr,
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! `chutecove-lab scale`: a large fleet on one machine, through changes and faults.
+//! `chutecove-lab scale`: runs a large fleet on one machine through changes and faults.
 //!
-//! Control replicas, relays and a few proxies are whole processes; the other proxies are hollow
-//! and share processes. Links between zones and regions are delayed.
+//! Control replicas, relays and a few proxies run in their own processes; the other proxies are
+//! hollow and share processes. Links between zones and regions have an emulated delay.
 
 mod fleet;
 mod phases;
@@ -26,7 +26,7 @@
     json: Option<PathBuf>,
 }
 
-/// Runs the phases one after another and prints what was measured.
+/// Runs the phases one after another and prints the measurements.
 pub fn run(arguments: &[String]) -> Result<(), crate::Failure> {
     let Some(request) = parse(arguments)? else { return Ok(()) };
     let report = measure(request.shape, &request.phases)?;
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Runs phases on a fleet of the given shape.
+/// Runs phases on a fleet of the given shape and returns the measurements.
 pub fn measure(shape: FleetShape, phases: &[Phase]) -> Result<ScaleReport, crate::Failure> {
     let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
     let started = Instant::now();
@@ -46,9 +46,9 @@
     let mut report = ScaleReport::new(&fleet, started.elapsed());
     for phase in phases {
         eprintln!("phase {phase} ...");
-        let measured = run_phase(&mut fleet, *phase)?;
-        measured.print();
-        report.phases.push(measured);
+        let phase_report = run_phase(&mut fleet, *phase)?;
+        phase_report.print();
+        report.phases.push(phase_report);
     }
     report.processes = fleet.process_count();
     report.total_memory_mb = fleet.total_memory_mb();
--- a/crates/lab/src/scale/phases.rs
+++ b/crates/lab/src/scale/phases.rs
@@ -1,4 +1,4 @@
-//! What a large fleet is put through.
+//! The phases of a scale run: load patterns and faults.
 
 use super::fleet::{now_us, ScaleFleet};
 use super::report::{PhaseReport, RoleUsage};
@@ -11,40 +11,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const IDLE: Duration = Duration::from_secs(10);
-const CHANGES: u64 = 6;
+const IDLE_DURATION: Duration = Duration::from_secs(10);
+const CHANGE_COUNT: u64 = 6;
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time for proxies to fall idle after a phase.
-const SETTLE: Duration = Duration::from_secs(4);
-const CHURN: Duration = Duration::from_secs(20);
-/// Ten times 870 restarts a day, each seen as leaving and as live again.
+const SETTLE_DURATION: Duration = Duration::from_secs(4);
+const CHURN_DURATION: Duration = Duration::from_secs(20);
+/// Ten times 870 restarts per day; each restart changes the upstream to leaving and back to live.
 const CHURN_INTERVAL: Duration = Duration::from_millis(500);
-const ZONE_CUT: Duration = Duration::from_secs(60);
-const LEADER_FROZEN: Duration = Duration::from_secs(10);
+const ZONE_PARTITION_DURATION: Duration = Duration::from_secs(60);
+const LEADER_FREEZE_DURATION: Duration = Duration::from_secs(10);
 
 /// A part of a scale run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing happens.
+    /// No changes and no faults.
     Idle,
-    /// A change of one route every 5 s.
+    /// One route changes every 5 s.
     Changes,
-    /// Upstreams restart.
+    /// Upstreams restart, one after another.
     Churn,
-    /// A relay is killed at the moment of a change, and stays away.
+    /// A relay is killed at the moment of a change, and restarted after the change is in force.
     RelayKilled,
     /// The control leader is killed at the moment of a change.
     LeaderKilled,
     /// The control leader is frozen at the moment of a change.
     LeaderFrozen,
-    /// A zone reaches no other for a minute, with a change meanwhile.
+    /// A zone is partitioned from all others for a minute, with a change in that time.
     ZoneCut,
-    /// Every proxy is killed and restarts.
+    /// All proxies are killed and restart at once (thundering herd).
     Herd,
 }
 
 impl Phase {
-    /// All, in the order of a whole run.
+    /// All phases, in the order of a complete run.
     pub const ALL: [Phase; 8] = [
         Phase::Idle,
         Phase::Changes,
@@ -85,24 +85,24 @@
     }
 }
 
-/// Changes of a phase: generation and when it was asked for.
+/// Changes of a phase: generation and time of the request, microseconds since 1970.
 type Changes = Vec<(u64, u64)>;
 
-/// Runs one phase and measures it.
+/// Runs one phase and returns its measurements.
 pub fn run_phase(fleet: &mut ScaleFleet, phase: Phase) -> Result<PhaseReport, crate::Failure> {
-    thread::sleep(SETTLE);
-    let idle_bytes_second = idle_bytes_per_second(fleet);
+    thread::sleep(SETTLE_DURATION);
+    let idle_bytes_per_s = idle_bytes_per_second(fleet);
     let before = fleet.usage();
     let bytes_before = fleet.control_bytes();
     let started = Instant::now();
     let mut events = 0;
     let changes = match phase {
         Phase::Idle => {
-            thread::sleep(IDLE);
+            thread::sleep(IDLE_DURATION);
             Vec::new()
         }
         Phase::Changes => {
-            events = CHANGES;
+            events = CHANGE_COUNT;
             changes(fleet)?
         }
         Phase::Churn => {
@@ -112,14 +112,14 @@
         Phase::RelayKilled => relay_killed(fleet)?,
         Phase::LeaderKilled => leader_killed(fleet)?,
         Phase::LeaderFrozen => leader_frozen(fleet)?,
-        Phase::ZoneCut => zone_cut(fleet)?,
+        Phase::ZoneCut => zone_partition(fleet)?,
         Phase::Herd => herd(fleet)?,
     };
     let seconds = started.elapsed().as_secs_f64();
     let nodes = fleet.shape.nodes as f64;
-    // Counters of proxies that were restarted began again at zero.
+    // The counters of restarted proxies start from zero, so the difference may be negative.
     let bytes = fleet.control_bytes().saturating_sub(bytes_before) as f64;
-    let idle = idle_bytes_second * seconds;
+    let idle_bytes = idle_bytes_per_s * seconds;
     let times = convergence(fleet, &changes)?;
     let quantile = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
     let has_times = !times.is_empty();
@@ -128,11 +128,15 @@
         seconds,
         bytes_per_node_second: bytes / nodes / seconds,
         events,
-        bytes_per_node_event: if events > 0 { (bytes - idle) / nodes / events as f64 } else { 0.0 },
+        bytes_per_node_event: if events > 0 {
+            (bytes - idle_bytes) / nodes / events as f64
+        } else {
+            0.0
+        },
         convergence_p50_ms: if has_times { quantile(0.5) } else { 0.0 },
         convergence_p99_ms: if has_times { quantile(0.99) } else { 0.0 },
         convergence_max_ms: if has_times { quantile(1.0) } else { 0.0 },
-        usage: by_role(fleet, &before, &fleet.usage(), seconds),
+        usage: usage_by_role(fleet, &before, &fleet.usage(), seconds),
     })
 }
 
@@ -145,10 +149,10 @@
 
 fn convergence(fleet: &ScaleFleet, changes: &Changes) -> Result<Histogram<u64>, crate::Failure> {
     let mut times = Histogram::new(3).map_err(|error| error.to_string())?;
-    let asked: BTreeMap<u64, u64> = changes.iter().copied().collect();
+    let requested: BTreeMap<u64, u64> = changes.iter().copied().collect();
     for (generation, at_us) in fleet.applied() {
-        if let Some(asked_us) = asked.get(&generation) {
-            let _ = times.record(at_us.saturating_sub(*asked_us));
+        if let Some(requested_us) = requested.get(&generation) {
+            let _ = times.record(at_us.saturating_sub(*requested_us));
         }
     }
     Ok(times)
@@ -156,9 +160,9 @@
 
 fn changes(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
     let mut changes = Vec::new();
-    for _ in 0..CHANGES {
+    for _ in 0..CHANGE_COUNT {
         let next = Instant::now() + CHANGE_INTERVAL;
-        changes.push(fleet.change()?);
+        changes.push(fleet.roll_out_change()?);
         thread::sleep(next.saturating_duration_since(Instant::now()));
     }
     fleet.wait_in_force(fleet.generation())?;
@@ -166,7 +170,7 @@
 }
 
 fn churn(fleet: &ScaleFleet) -> u64 {
-    let end = Instant::now() + CHURN;
+    let end = Instant::now() + CHURN_DURATION;
     let mut restarts = 0;
     while Instant::now() < end {
         let number = restarts as usize * 7 % fleet.shape.nodes;
@@ -180,75 +184,75 @@
 }
 
 fn relay_killed(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
-    let name = fleet.fleet.layout.relays[0].settings.name.clone();
-    if let Some(relay) = fleet.fleet.processes.get_mut(&name) {
+    let name = fleet.running.layout.relays[0].settings.name.clone();
+    if let Some(relay) = fleet.running.processes.get_mut(&name) {
         relay.kill();
     }
-    let change = fleet.change()?;
+    let change = fleet.roll_out_change()?;
     fleet.wait_in_force(change.0)?;
-    fleet.fleet.start_relay(0)?;
+    fleet.running.start_relay(0)?;
     Ok(vec![change])
 }
 
 fn leader_killed(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
     let leader = fleet.leader().ok_or("no leader is known")?;
-    let name = format!("control-{}", fleet.fleet.layout.voters[leader].id);
-    if let Some(process) = fleet.fleet.processes.get_mut(&name) {
+    let name = format!("control-{}", fleet.running.layout.voters[leader].id);
+    if let Some(process) = fleet.running.processes.get_mut(&name) {
         process.kill();
     }
-    let asked_us = now_us();
-    let (generation, _) = fleet.change()?;
+    let requested_us = now_us();
+    let (generation, _) = fleet.roll_out_change()?;
     fleet.wait_in_force(generation)?;
-    fleet.fleet.start_voter(leader, None)?;
-    Ok(vec![(generation, asked_us)])
+    fleet.running.start_voter(leader, None)?;
+    Ok(vec![(generation, requested_us)])
 }
 
 fn leader_frozen(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
     let leader = fleet.leader().ok_or("no leader is known")?;
-    let name = format!("control-{}", fleet.fleet.layout.voters[leader].id);
-    let woken_at = Instant::now() + LEADER_FROZEN;
-    if let Some(process) = fleet.fleet.processes.get_mut(&name) {
+    let name = format!("control-{}", fleet.running.layout.voters[leader].id);
+    let resume_at = Instant::now() + LEADER_FREEZE_DURATION;
+    if let Some(process) = fleet.running.processes.get_mut(&name) {
         process.freeze();
     }
-    let asked_us = now_us();
-    let changed = fleet.change();
-    let waited = changed.and_then(|(generation, _)| {
+    let requested_us = now_us();
+    let rollout = fleet.roll_out_change();
+    let in_force_generation = rollout.and_then(|(generation, _)| {
         fleet.wait_in_force(generation)?;
         Ok(generation)
     });
-    thread::sleep(woken_at.saturating_duration_since(Instant::now()));
-    if let Some(process) = fleet.fleet.processes.get_mut(&name) {
+    thread::sleep(resume_at.saturating_duration_since(Instant::now()));
+    if let Some(process) = fleet.running.processes.get_mut(&name) {
         process.resume();
     }
-    Ok(vec![(waited?, asked_us)])
+    Ok(vec![(in_force_generation?, requested_us)])
 }
 
-fn zone_cut(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
-    let zone = fleet.fleet.layout.spec.zones[fleet.shape.zones - 1].clone();
+fn zone_partition(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
+    let zone = fleet.running.layout.spec.zones[fleet.shape.zones - 1].clone();
     let inside = zone.proxies + zone.hollow_proxies;
-    let healed_at = Instant::now() + ZONE_CUT;
-    fleet.fleet.layout.network.cut_zone(&zone.name);
-    let change = fleet.change()?;
-    thread::sleep(healed_at.saturating_duration_since(Instant::now()));
+    let heal_at = Instant::now() + ZONE_PARTITION_DURATION;
+    fleet.running.layout.network.partition_zone(&zone.name);
+    let change = fleet.roll_out_change()?;
+    thread::sleep(heal_at.saturating_duration_since(Instant::now()));
     let outside = fleet.shape.nodes - inside;
-    let reached = fleet.count_in_force(change.0);
-    println!("during the cut: in force on {reached} proxies, {outside} are outside the zone");
-    fleet.fleet.layout.network.heal();
-    let took = fleet.wait_in_force(change.0)?;
-    println!("after the cut: in force everywhere {:.2} s later", took.as_secs_f64());
+    let in_force = fleet.count_in_force(change.0);
+    println!("during the cut: in force on {in_force} proxies, {outside} are outside the zone");
+    fleet.running.layout.network.heal();
+    let elapsed = fleet.wait_in_force(change.0)?;
+    println!("after the cut: in force everywhere {:.2} s later", elapsed.as_secs_f64());
     Ok(vec![change])
 }
 
 fn herd(fleet: &mut ScaleFleet) -> Result<Changes, crate::Failure> {
     fleet.restart_all_proxies()?;
-    let began_us = now_us();
+    let restarted_us = now_us();
     fleet.wait_in_force(fleet.generation())?;
-    Ok(vec![(fleet.generation(), began_us)])
+    Ok(vec![(fleet.generation(), restarted_us)])
 }
 
 const ROLES: [&str; 4] = ["control", "relay", "proxy", "hollow"];
 
-fn by_role(
+fn usage_by_role(
     fleet: &ScaleFleet,
     before: &BTreeMap<String, Usage>,
     after: &BTreeMap<String, Usage>,
@@ -268,26 +272,27 @@
     let prefix = format!("{role}-");
     let processes: Vec<(&String, &Usage)> =
         after.iter().filter(|(name, _)| name.starts_with(&prefix)).collect();
-    let core = |name: &String, usage: &Usage| {
-        // A process that was started again began at zero.
+    let core_percent = |name: &String, usage: &Usage| {
+        // The CPU time of a restarted process starts from zero.
         let earlier = before.get(name).map_or(0.0, |usage| usage.cpu_s);
-        let spent = if usage.cpu_s >= earlier { usage.cpu_s - earlier } else { usage.cpu_s };
-        100.0 * spent / seconds
+        let used = if usage.cpu_s >= earlier { usage.cpu_s - earlier } else { usage.cpu_s };
+        100.0 * used / seconds
     };
-    let cores: Vec<f64> = processes.iter().map(|(name, usage)| core(name, usage)).collect();
-    let memories: Vec<f64> =
+    let core_percents: Vec<f64> =
+        processes.iter().map(|(name, usage)| core_percent(name, usage)).collect();
+    let memories_mb: Vec<f64> =
         processes.iter().map(|(_, usage)| usage.resident_bytes as f64 / 1e6).collect();
     if processes.is_empty() {
         return None;
     }
     let members = if role == "hollow" { hollow_count } else { processes.len() as f64 };
-    let largest = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
     Some(RoleUsage {
         role: role.to_owned(),
-        core_percent_mean: cores.iter().sum::<f64>() / members,
-        core_percent_median: Findings::median(&cores),
-        core_percent_max: largest(&cores),
-        memory_mb_mean: memories.iter().sum::<f64>() / members,
-        memory_mb_max: largest(&memories),
+        core_percent_mean: core_percents.iter().sum::<f64>() / members,
+        core_percent_median: Findings::median(&core_percents),
+        core_percent_max: max(&core_percents),
+        memory_mb_mean: memories_mb.iter().sum::<f64>() / members,
+        memory_mb_max: max(&memories_mb),
     })
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,74 +1,75 @@
-//! What a scale run measured.
+//! Report of a scale run.
 
 use super::fleet::ScaleFleet;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Processor time and memory of the processes of one role during a phase.
+/// CPU time and memory of the processes of one role during a phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct RoleUsage {
     /// `control`, `relay`, `proxy` (real) or `hollow`.
     pub role: String,
-    /// Processor time of one member, per cent of a core, mean over the role.
+    /// CPU time per member, percent of a core, mean over the role.
     pub core_percent_mean: f64,
-    /// The same of the middle process; for proxies one that carries no calls.
+    /// CPU time of the median process, percent of a core; for proxies, a process without calls.
     pub core_percent_median: f64,
-    /// The same of the busiest process.
+    /// CPU time of the busiest process, percent of a core.
     pub core_percent_max: f64,
-    /// Resident memory of one member at the end, MB, mean.
+    /// Resident memory per member at the end, MB, mean over the role.
     pub memory_mb_mean: f64,
-    /// The same of the largest process.
+    /// Resident memory of the largest process at the end, MB.
     pub memory_mb_max: f64,
 }
 
-/// One phase.
+/// Measurements of one phase.
 #[derive(Clone, Debug, Serialize)]
 pub struct PhaseReport {
-    /// Name.
+    /// Name of the phase.
     pub phase: String,
-    /// How long it took, seconds.
+    /// Duration, seconds.
     pub seconds: f64,
-    /// Frames between a proxy and its relay, bytes a second, mean over all proxies.
+    /// Frame bytes between a proxy and its relay, per second, mean over all proxies.
     pub bytes_per_node_second: f64,
-    /// Events in the phase: changes, or endpoint changes.
+    /// Number of events in the phase: configuration changes, or upstream restarts.
     pub events: u64,
-    /// Frames per proxy and event, bytes, idle traffic taken off.
+    /// Frame bytes per proxy and event, without the idle traffic.
     pub bytes_per_node_event: f64,
-    /// From the operator's request until in force on a proxy, ms: median.
+    /// Time from the operator's request until in force on a proxy, ms: median over proxies and
+    /// changes.
     pub convergence_p50_ms: f64,
-    /// 99th percentile over proxies and changes.
+    /// 99th percentile of the same time.
     pub convergence_p99_ms: f64,
-    /// The last proxy of all changes.
+    /// Maximum of the same time.
     pub convergence_max_ms: f64,
-    /// Usage by role.
+    /// CPU time and memory by role.
     pub usage: Vec<RoleUsage>,
 }
 
-/// A whole run.
+/// Measurements of a complete run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScaleReport {
-    /// Proxies.
+    /// Number of proxies, real and hollow.
     pub nodes: usize,
-    /// Real ones among them.
+    /// Number of real proxies.
     pub real: usize,
-    /// Control replicas.
+    /// Number of control replicas.
     pub voters: usize,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// From the start until the first bundle was in force everywhere, seconds.
+    /// Time from the start until the first bundle was in force on all proxies, seconds.
     pub start_seconds: f64,
-    /// Processes at the end.
+    /// Number of processes at the end.
     pub processes: usize,
-    /// Memory of all processes at the end, MB.
+    /// Resident memory of all processes at the end, MB.
     pub total_memory_mb: f64,
-    /// Phases.
+    /// Measurements by phase.
     pub phases: Vec<PhaseReport>,
 }
 
 impl ScaleReport {
-    /// A report without phases yet.
+    /// Creates a report without phases; `start` is the time until the first bundle was in force.
     pub fn new(fleet: &ScaleFleet, start: Duration) -> Self {
         ScaleReport {
             nodes: fleet.shape.nodes,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Prints the whole.
+    /// Prints the report.
     pub fn print(&self) {
         println!(
             "{} proxies ({} real), {} control replicas, {} relays, {} services: \
@@ -104,7 +105,7 @@
 }
 
 impl PhaseReport {
-    /// Prints one phase.
+    /// Prints the measurements of the phase.
     pub fn print(&self) {
         println!(
             "{:<14} {:>6.1} s  {:>7.1} B/s a node  {:>4} events  {:>7.0} B a node and event  \
--- a/crates/lab/src/scale/usage.rs
+++ b/crates/lab/src/scale/usage.rs
@@ -1,18 +1,18 @@
-//! Processor time and memory of processes, from the system's process table.
+//! CPU time and memory of processes, read from `/proc`.
 
 use procfs::process::Process;
 
-/// What one process has used.
+/// Resource usage of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time so far, seconds.
+    /// CPU time (user and system) so far, seconds.
     pub cpu_s: f64,
-    /// Resident memory now, bytes.
+    /// Current resident memory, bytes.
     pub resident_bytes: u64,
 }
 
 impl Usage {
-    /// Of a running process.
+    /// Reads the usage of a running process.
     pub fn of(id: u32) -> Option<Usage> {
         let stat = Process::new(i32::try_from(id).ok()?).ok()?.stat().ok()?;
         let ticks = (stat.utime + stat.stime) as f64;
--- a/crates/lab/src/stand_in/link.rs
+++ b/crates/lab/src/stand_in/link.rs
@@ -96,7 +96,7 @@
     }
 
     /// Cuts a zone off from all others.
-    pub fn cut_zone(&self, zone: &str) {
+    pub fn partition_zone(&self, zone: &str) {
         self.shared.lock().cut_zones.insert(zone.to_owned());
     }
 
