--- a/crates/lab/src/fleet/bundles.rs
+++ b/crates/lab/src/fleet/bundles.rs
@@ -1,32 +1,32 @@
-//! Bundles for the deployments' services.
+//! Configuration bundles for the services of a test fleet.
 
 use std::fmt::Write;
 
-/// A service with one read route and, for payments, one charge route.
+/// A service with one read route and, if it takes charges, one charge route.
 #[derive(Clone, Debug)]
 pub struct ServiceShape {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Calls one upstream runs at once.
+    /// Number of concurrent calls per upstream.
     pub slots: u32,
-    /// Connections one upstream accepts.
+    /// Number of connections that one upstream accepts.
     pub connections: u32,
-    /// Whether it takes charges that must not run twice.
+    /// Whether the service takes charges, which must not run twice.
     pub takes_charges: bool,
 }
 
 impl ServiceShape {
-    /// A service that only answers reads.
+    /// Returns a service with a read route only.
     pub fn reads(name: &str, slots: u32, connections: u32) -> Self {
         ServiceShape { name: name.to_owned(), slots, connections, takes_charges: false }
     }
 
-    /// A service that also takes charges.
+    /// Returns a service with a read route and a charge route.
     pub fn charges(name: &str, slots: u32, connections: u32) -> Self {
         ServiceShape { takes_charges: true, ..ServiceShape::reads(name, slots, connections) }
     }
 
-    /// The fare firm's services.
+    /// Returns the services of the reference deployment, a fare system.
     pub fn reference_services() -> Vec<Self> {
         vec![
             ServiceShape::reads("balance", 20, 130),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The bundle as an operator would write it. `revision` changes one route's timeout.
+/// Returns the source text of a bundle. `revision` changes the timeout of one route.
 pub fn bundle_toml(services: &[ServiceShape], revision: u32) -> String {
     let mut text = String::new();
     for (position, service) in services.iter().enumerate() {
--- a/crates/lab/src/fleet/keys.rs
+++ b/crates/lab/src/fleet/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates of a lab fleet.
+//! Keys and certificates of a test fleet.
 
 use bundle::SealKey;
 use chutecove::operator::{encode_hex, OperatorClient, OperatorSettings};
@@ -13,12 +13,12 @@
 
 const CERTIFICATE_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 
-/// The lab's operators: one submits, the other approves, both roll.
+/// Operator who submits bundles. Both operators may roll them out.
 pub const SUBMITTER: &str = "alice";
-/// Approves what the submitter submits.
+/// Operator who approves the bundles of [`SUBMITTER`].
 pub const APPROVER: &str = "bob";
 
-/// All keys of a fleet, in one folder.
+/// All keys and certificates of a fleet, in one folder.
 pub struct FleetKeys {
     folder: PathBuf,
     authority: CertificateAuthority,
@@ -26,12 +26,15 @@
 }
 
 impl FleetKeys {
-    /// Makes the authority, the sealing key and the operators.
+    /// Creates the certificate authority, the sealing key and the operators, and writes their
+    /// files.
     pub fn create(folder: &Path, fleet: &str) -> Result<Self, crate::Failure> {
         fs::create_dir_all(folder).map_err(|error| error.to_string())?;
         let authority = CertificateAuthority::create(fleet).map_err(|error| error.to_string())?;
         let mut bytes = [0; 32];
-        SystemRandom::new().fill(&mut bytes).map_err(|_| "no random bytes".to_owned())?;
+        SystemRandom::new()
+            .fill(&mut bytes)
+            .map_err(|_| "the system random generator failed".to_owned())?;
         let seal_key = SealKey::new(1, bytes);
         let keys = FleetKeys { folder: folder.to_owned(), authority, seal_key };
         keys.write("authority.pem", keys.authority.certificate_pem())?;
@@ -52,17 +55,18 @@
 
     fn operator(&self, name: &str, roles: &[&str]) -> Result<OperatorEntry, crate::Failure> {
         let pkcs8 = Ed25519KeyPair::generate_pkcs8(&SystemRandom::new())
-            .map_err(|_| "no random bytes".to_owned())?;
-        let pair = Ed25519KeyPair::from_pkcs8(pkcs8.as_ref()).map_err(|error| error.to_string())?;
+            .map_err(|_| "the system random generator failed".to_owned())?;
+        let key_pair =
+            Ed25519KeyPair::from_pkcs8(pkcs8.as_ref()).map_err(|error| error.to_string())?;
         self.write(&format!("{name}.operator"), &encode_hex(pkcs8.as_ref()))?;
         Ok(OperatorEntry {
             name: name.to_owned(),
-            public_key: encode_hex(pair.public_key().as_ref()),
+            public_key: encode_hex(key_pair.public_key().as_ref()),
             roles: roles.iter().map(|role| (*role).to_owned()).collect(),
         })
     }
 
-    /// Issues a certificate and returns where it lies.
+    /// Issues a certificate and returns the paths of its files.
     pub fn issue(&self, role: Role, name: &str, zone: &str) -> Result<TlsSettings, crate::Failure> {
         let identity = Identity { role, name: name.to_owned(), zone: zone.to_owned() };
         let issued = issue_certificate(&self.authority, &identity, CERTIFICATE_LIFETIME)
@@ -76,27 +80,27 @@
         })
     }
 
-    /// File with an operator's private key.
+    /// Returns the path of an operator's private key.
     pub fn operator_key_file(&self, operator: &str) -> PathBuf {
         self.folder.join(format!("{operator}.operator"))
     }
 
-    /// The key that seals secrets.
+    /// Returns the key that seals secrets.
     pub fn seal_key(&self) -> &SealKey {
         &self.seal_key
     }
 
-    /// File of sealing keys.
+    /// Returns the path of the file of sealing keys.
     pub fn seal_key_file(&self) -> PathBuf {
         self.folder.join("seal.keys")
     }
 
-    /// File of operators.
+    /// Returns the path of the file of operators.
     pub fn operators_file(&self) -> PathBuf {
         self.folder.join("operators.toml")
     }
 
-    /// A connection as one of the operators.
+    /// Returns an API client that acts as one of the operators.
     pub fn client(
         &self,
         operator: &str,
--- a/crates/lab/src/fleet/layout.rs
+++ b/crates/lab/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Where everything of a fleet runs: addresses, settings files, certificates.
+//! Addresses, settings files and certificates of all processes of a fleet.
 
 use super::keys::FleetKeys;
 use super::ports::PortRange;
@@ -12,87 +12,87 @@
 use std::path::{Path, PathBuf};
 use wire::Role;
 
-/// One zone.
+/// Specification of a zone.
 #[derive(Clone, Debug)]
 pub struct ZoneSpec {
-    /// Name.
+    /// Name of the zone.
     pub name: String,
-    /// Region.
+    /// Region of the zone.
     pub region: String,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Proxies that run as processes of their own.
+    /// Number of proxies that run in their own process.
     pub proxies: usize,
-    /// Proxies that share a process and carry no calls.
+    /// Number of hollow proxies, which share processes and receive no calls.
     pub hollow_proxies: usize,
 }
 
-/// What a fleet consists of.
+/// Specification of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// Control replicas.
+    /// Number of control replicas.
     pub voters: usize,
-    /// Groups of claims.
+    /// Number of claim groups.
     pub claim_groups: u32,
-    /// Zones.
+    /// Zones of the fleet.
     pub zones: Vec<ZoneSpec>,
-    /// Whether proxies have a disk.
+    /// Whether proxies have a data directory.
     pub proxy_disks: bool,
-    /// Emulated delays between zones and regions; none if absent.
+    /// Emulated delays between zones and regions; `None` connects processes directly.
     pub delays: Option<DelayPlan>,
 }
 
 impl FleetSpec {
-    /// The zone of a control replica: each in another one, as far as there are zones.
+    /// Returns the zone of a control replica; replicas are spread evenly over the zones.
     pub fn voter_zone(&self, id: u64) -> &ZoneSpec {
         &self.zones[id as usize % self.zones.len()]
     }
 }
 
-/// One control replica.
+/// Configuration of a control replica.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
-    /// Member id.
+    /// Member id of the replica.
     pub id: u64,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings_file: PathBuf,
-    /// Its settings.
+    /// Contents of the settings file.
     pub settings: ControlSettings,
 }
 
-/// One relay.
+/// Configuration of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayConfig {
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings_file: PathBuf,
-    /// Its settings.
+    /// Contents of the settings file.
     pub settings: RelaySettings,
 }
 
-/// One proxy.
+/// Configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyConfig {
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings_file: PathBuf,
-    /// Its settings.
+    /// Contents of the settings file.
     pub settings: ProxySettings,
 }
 
-/// A fleet with all files written.
+/// Configuration of all processes of a fleet, written to files.
 pub struct FleetLayout {
-    /// Folder of everything.
+    /// Folder of all files of the fleet.
     pub folder: PathBuf,
-    /// What it consists of.
+    /// Specification of the fleet.
     pub spec: FleetSpec,
-    /// Keys.
+    /// Keys and certificates.
     pub keys: FleetKeys,
-    /// Delayed links between zones.
+    /// Emulated links between zones.
     pub network: LinkNetwork,
-    /// Free ports.
+    /// Allocator of free ports.
     pub ports: PortRange,
-    /// Where the platform's list is.
+    /// Address that serves the platform's list of machines.
     pub platform: SocketAddr,
     /// Control replicas.
     pub voters: Vec<VoterConfig>,
@@ -100,12 +100,12 @@
     pub relays: Vec<RelayConfig>,
     /// Proxies.
     pub proxies: Vec<ProxyConfig>,
-    /// Proxies that share processes.
+    /// Hollow proxies.
     pub hollow_proxies: Vec<ProxyConfig>,
 }
 
 impl FleetLayout {
-    /// Chooses addresses and writes keys and settings.
+    /// Allocates addresses and writes keys and settings.
     pub fn create(folder: &Path, spec: FleetSpec) -> Result<Self, crate::Failure> {
         let keys = FleetKeys::create(&folder.join("keys"), &spec.fleet)?;
         let mut ports = PortRange::default();
@@ -129,7 +129,7 @@
         Ok(layout)
     }
 
-    /// Operators' addresses of all replicas.
+    /// Returns the operator API addresses of all control replicas.
     pub fn api(&self) -> Vec<SocketAddr> {
         self.voters.iter().map(|voter| voter.settings.api_listen).collect()
     }
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// Writes the settings of one control replica.
+    /// Writes the settings of one control replica and adds it to the layout.
     pub fn configure_voter(
         &mut self,
         own: PeerSettings,
@@ -156,7 +156,7 @@
     ) -> Result<(), crate::Failure> {
         let name = format!("control-{}", own.id);
         let zone = self.spec.voter_zone(own.id).clone();
-        let peer = self.peers_seen_from(&zone, peer)?;
+        let peer = self.peers_for_zone(&zone, peer)?;
         let settings = ControlSettings {
             fleet: self.spec.fleet.clone(),
             member_id: own.id,
@@ -180,28 +180,29 @@
         Ok(())
     }
 
-    /// Places one more control replica, and lists it in the settings of all others and of relays.
+    /// Adds a control replica, and lists it in the settings of all other replicas and of the
+    /// relays.
     pub fn add_voter(&mut self, id: u64) -> Result<(), crate::Failure> {
         let own = PeerSettings {
             id,
             address: self.ports.next_address(),
             api_address: self.ports.next_address(),
         };
-        let known = self.voters.iter().flat_map(|voter| voter.settings.peer.clone());
-        let mut peers: Vec<PeerSettings> = known.collect();
+        let known_peers = self.voters.iter().flat_map(|voter| voter.settings.peer.clone());
+        let mut peers: Vec<PeerSettings> = known_peers.collect();
         peers.sort_by_key(|peer| peer.id);
         peers.dedup_by_key(|peer| peer.id);
         peers.push(own.clone());
         self.configure_voter(own, peers)?;
-        let newcomer = self.voters.len() - 1;
-        let listed = self.voters[newcomer].settings.peer.clone();
-        for position in 0..newcomer {
-            self.voters[position].settings.peer = listed.clone();
+        let new_position = self.voters.len() - 1;
+        let all_peers = self.voters[new_position].settings.peer.clone();
+        for position in 0..new_position {
+            self.voters[position].settings.peer = all_peers.clone();
             let voter = self.voters[position].clone();
             self.write_settings(&format!("control-{}", voter.id), &voter.settings)?;
         }
         for position in 0..self.relays.len() {
-            let control = listed.iter();
+            let control = all_peers.iter();
             let control =
                 control.map(|peer| ControlAddressSettings { id: peer.id, address: peer.address });
             self.relays[position].settings.control = control.collect();
@@ -211,7 +212,7 @@
         Ok(())
     }
 
-    /// Writes the settings file of the operator who submits; returns its path.
+    /// Writes the settings file of the submitting operator and returns its path.
     pub fn write_operator_settings(&self) -> Result<String, crate::Failure> {
         let path = self.folder.join("operator.toml");
         let api: Vec<String> = self.api().iter().map(|address| format!("\"{address}\"")).collect();
@@ -226,46 +227,48 @@
         Ok(path.display().to_string())
     }
 
-    fn peers_seen_from(
+    fn peers_for_zone(
         &mut self,
         zone: &ZoneSpec,
         peers: Vec<PeerSettings>,
     ) -> Result<Vec<PeerSettings>, crate::Failure> {
-        let mut seen = Vec::new();
+        let mut reachable_peers = Vec::new();
         for peer in peers {
-            let there = self.spec.voter_zone(peer.id).clone();
-            let address = self.network.seen_from(zone, peer.address, &there)?;
-            seen.push(PeerSettings { address, ..peer });
+            let target_zone = self.spec.voter_zone(peer.id).clone();
+            let address = self.network.address_from(zone, peer.address, &target_zone)?;
+            reachable_peers.push(PeerSettings { address, ..peer });
         }
-        Ok(seen)
+        Ok(reachable_peers)
     }
 
-    fn control_seen_from(
+    fn control_addresses_for_zone(
         &mut self,
         zone: &ZoneSpec,
     ) -> Result<Vec<ControlAddressSettings>, crate::Failure> {
-        let mut seen = Vec::new();
+        let mut addresses = Vec::new();
         for voter in &self.voters {
-            let there = self.spec.voter_zone(voter.id);
-            let address = self.network.seen_from(zone, voter.settings.listen, there)?;
-            seen.push(ControlAddressSettings { id: voter.id, address });
+            let target_zone = self.spec.voter_zone(voter.id);
+            let address = self.network.address_from(zone, voter.settings.listen, target_zone)?;
+            addresses.push(ControlAddressSettings { id: voter.id, address });
         }
-        Ok(seen)
+        Ok(addresses)
     }
 
     fn configure_relays(&mut self) -> Result<(), crate::Failure> {
-        let mut places = Vec::new();
+        let mut relays = Vec::new();
         for zone in self.spec.zones.clone() {
             for number in 1..=zone.relays {
                 let name = format!("relay-{}-{number}", zone.name);
-                places.push((name, zone.clone(), self.ports.next_address()));
+                relays.push((name, zone.clone(), self.ports.next_address()));
             }
         }
-        for (name, zone, listen) in &places {
-            let control = self.control_seen_from(zone)?;
+        for (name, zone, listen) in &relays {
+            let control = self.control_addresses_for_zone(zone)?;
             let mut peer = Vec::new();
-            for (_, there, address) in places.iter().filter(|(_, _, address)| address != listen) {
-                peer.push(self.network.seen_from(zone, *address, there)?);
+            for (_, target_zone, address) in
+                relays.iter().filter(|(_, _, address)| address != listen)
+            {
+                peer.push(self.network.address_from(zone, *address, target_zone)?);
             }
             let settings = RelaySettings {
                 fleet: self.spec.fleet.clone(),
@@ -295,13 +298,13 @@
         for zone in self.spec.zones.clone() {
             for number in 1..=zone.proxies {
                 let name = format!("proxy-{}-{number}", zone.name);
-                let place = self.configure_proxy(&name, &zone, Vec::new())?;
-                self.proxies.push(place);
+                let config = self.configure_proxy(&name, &zone, Vec::new())?;
+                self.proxies.push(config);
             }
             for number in 1..=zone.hollow_proxies {
                 let name = format!("hollow-{}-{number}", zone.name);
-                let place = self.configure_proxy(&name, &zone, Vec::new())?;
-                self.hollow_proxies.push(place);
+                let config = self.configure_proxy(&name, &zone, Vec::new())?;
+                self.hollow_proxies.push(config);
             }
         }
         Ok(())
@@ -321,7 +324,7 @@
             listen: self.ports.next_address(),
             metrics_listen: self.ports.next_address(),
             tls: self.keys.issue(Role::Proxy, name, &zone.name)?,
-            relay: self.relays_seen_from(zone)?,
+            relay: self.relay_addresses_for_zone(zone)?,
             seal_key_file: self.keys.seal_key_file(),
             operators_file: self.keys.operators_file(),
             data_dir: self.spec.proxy_disks.then(|| self.folder.join(name)),
@@ -338,22 +341,26 @@
         Ok(ProxyConfig { settings_file, settings })
     }
 
-    /// All relays, as proxies of a zone reach them.
-    fn relays_seen_from(
+    /// Returns the addresses at which proxies of a zone reach the relays.
+    fn relay_addresses_for_zone(
         &mut self,
         zone: &ZoneSpec,
     ) -> Result<Vec<RelayAddressSettings>, crate::Failure> {
-        let mut seen = Vec::new();
+        let mut addresses = Vec::new();
         for relay in &self.relays {
-            let there = ZoneSpec {
+            let target_zone = ZoneSpec {
                 name: relay.settings.zone.clone(),
                 region: relay.settings.region.clone(),
                 ..zone.clone()
             };
-            let address = self.network.seen_from(zone, relay.settings.listen, &there)?;
-            seen.push(RelayAddressSettings { address, zone: there.name, region: there.region });
+            let address = self.network.address_from(zone, relay.settings.listen, &target_zone)?;
+            addresses.push(RelayAddressSettings {
+                address,
+                zone: target_zone.name,
+                region: target_zone.region,
+            });
         }
-        Ok(seen)
+        Ok(addresses)
     }
 
     fn write_settings<T: serde::Serialize>(
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A whole fleet as processes on this machine.
+//! A complete fleet that runs as processes on this machine.
 
 mod bundles;
 mod keys;
--- a/crates/lab/src/fleet/ports.rs
+++ b/crates/lab/src/fleet/ports.rs
@@ -1,11 +1,11 @@
-//! Free ports below the range that the system uses for outgoing connections.
+//! Allocates free ports below the range that the system uses for outgoing connections.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
 const FIRST_PORT: u16 = 10_000;
 const LAST_PORT: u16 = 32_000;
 
-/// Hands out ports that were free a moment ago, none of them twice.
+/// Allocates ports that are free at the time of the call, each one once per pass through the range.
 #[derive(Debug)]
 pub struct PortRange {
     next: u16,
@@ -18,7 +18,7 @@
 }
 
 impl PortRange {
-    /// The next free address on the loopback interface.
+    /// Returns the next free address on the loopback interface.
     pub fn next_address(&mut self) -> SocketAddr {
         loop {
             self.next = if self.next >= LAST_PORT { FIRST_PORT } else { self.next + 1 };
--- a/crates/lab/src/fleet/process.rs
+++ b/crates/lab/src/fleet/process.rs
@@ -1,13 +1,13 @@
-//! Processes started by the lab, ended by their id when they go out of scope.
+//! Child processes of the lab, killed when their handle is dropped.
 
 use std::fs::File;
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process of this binary.
+/// A child process that runs this binary.
 #[derive(Debug)]
 pub struct ManagedProcess {
     name: String,
@@ -16,7 +16,7 @@
 }
 
 impl ManagedProcess {
-    /// Starts this binary with other arguments; its output goes to `log`.
+    /// Starts this binary with the given arguments; its output is appended to `log`.
     pub fn start(name: &str, arguments: &[String], log: &Path) -> std::io::Result<Self> {
         let output = File::options().create(true).append(true).open(log)?;
         let child = Command::new(std::env::current_exe()?)
@@ -28,17 +28,17 @@
         Ok(ManagedProcess { name: name.to_owned(), child, exit_status: None })
     }
 
-    /// Its name in the fleet.
+    /// Returns the name of the process in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         if self.exit_status.is_none() {
             self.exit_status = self.child.try_wait().ok().flatten();
@@ -46,7 +46,7 @@
         self.exit_status.is_none()
     }
 
-    /// Ends it at once (SIGKILL).
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
         if self.is_running() {
             let _ = self.child.kill();
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Asks it to stop (SIGTERM).
+    /// Asks the process to stop (SIGTERM).
     pub fn terminate(&mut self) {
         self.signal("TERM");
     }
 
-    /// Freezes it (SIGSTOP).
+    /// Freezes the process (SIGSTOP).
     pub fn freeze(&mut self) {
         self.signal("STOP");
     }
 
-    /// Wakes it (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn resume(&mut self) {
         self.signal("CONT");
     }
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Waits until it has ended; `None` after the limit.
-    pub fn wait_exit(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let deadline = Instant::now() + limit;
+    /// Waits until the process has exited; returns `None` if `timeout` passes first.
+    pub fn wait_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         while self.is_running() && Instant::now() < deadline {
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         self.exit_status
     }
--- a/crates/lab/src/fleet/running.rs
+++ b/crates/lab/src/fleet/running.rs
@@ -1,4 +1,4 @@
-//! Starting, watching and ending the processes of a fleet.
+//! Starts, observes and stops the processes of a fleet.
 
 use super::keys::{APPROVER, SUBMITTER};
 use super::layout::FleetLayout;
@@ -13,29 +13,29 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-const START_LIMIT: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(5);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One stand-in back end.
+/// Configuration of a stub backend.
 #[derive(Clone, Debug)]
 pub struct BackendConfig {
-    /// Name.
+    /// Name of the process.
     pub name: String,
-    /// Service.
+    /// Service that the backend belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// File that counts its runs.
+    /// File with one line per run of a keyed call.
     pub runs_file: PathBuf,
 }
 
-/// A fleet whose processes run.
+/// A fleet with running processes.
 pub struct RunningFleet {
-    /// Files and addresses.
+    /// Settings files and addresses.
     pub layout: FleetLayout,
-    /// The platform's list.
+    /// The platform's list of machines.
     pub platform: PlatformList,
-    /// Stand-in back ends.
+    /// Stub backends.
     pub backends: Vec<BackendConfig>,
     /// Processes by name.
     pub processes: BTreeMap<String, ManagedProcess>,
@@ -43,7 +43,7 @@
 }
 
 impl RunningFleet {
-    /// Serves the platform's list; nothing else runs yet.
+    /// Serves the platform's list without starting any process.
     pub fn prepare(layout: FleetLayout) -> Result<Self, crate::Failure> {
         let platform = PlatformList::serve(layout.platform)?;
         let config = ureq::Agent::config_builder()
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Starts a process of the fleet.
+    /// Starts this binary as a process of the fleet, with its log in the folder of the fleet.
     pub fn start(&mut self, name: &str, arguments: &[String]) -> Result<(), crate::Failure> {
         let log = self.layout.folder.join(format!("{name}.log"));
         let process = ManagedProcess::start(name, arguments, &log)
@@ -69,13 +69,22 @@
         Ok(())
     }
 
-    fn product(&self, role: &str, settings_file: &std::path::Path, more: &[&str]) -> Vec<String> {
+    fn product_arguments(
+        &self,
+        role: &str,
+        settings_file: &std::path::Path,
+        extra_arguments: &[&str],
+    ) -> Vec<String> {
         let path = settings_file.display().to_string();
-        let fixed = ["product", role, "--settings", &path];
-        fixed.iter().chain(more).map(|argument| (*argument).to_owned()).collect()
+        let base_arguments = ["product", role, "--settings", &path];
+        base_arguments
+            .iter()
+            .chain(extra_arguments)
+            .map(|argument| (*argument).to_owned())
+            .collect()
     }
 
-    /// Starts one control replica; `flag` is `--bootstrap`, `--join` or nothing.
+    /// Starts one control replica; `flag` is `--bootstrap`, `--join` or `None`.
     pub fn start_voter(
         &mut self,
         position: usize,
@@ -83,8 +92,8 @@
     ) -> Result<(), crate::Failure> {
         let voter = &self.layout.voters[position];
         let name = format!("control-{}", voter.id);
-        let more: Vec<&str> = flag.into_iter().collect();
-        let arguments = self.product("control", &voter.settings_file, &more);
+        let extra_arguments: Vec<&str> = flag.into_iter().collect();
+        let arguments = self.product_arguments("control", &voter.settings_file, &extra_arguments);
         self.start(&name, &arguments)
     }
 
@@ -92,7 +101,7 @@
     pub fn start_relay(&mut self, position: usize) -> Result<(), crate::Failure> {
         let relay = &self.layout.relays[position];
         let name = relay.settings.name.clone();
-        let arguments = self.product("relay", &relay.settings_file, &[]);
+        let arguments = self.product_arguments("relay", &relay.settings_file, &[]);
         self.start(&name, &arguments)
     }
 
@@ -100,34 +109,34 @@
     pub fn start_proxy(&mut self, position: usize) -> Result<(), crate::Failure> {
         let proxy = &self.layout.proxies[position];
         let name = proxy.settings.name.clone();
-        let arguments = self.product("proxy", &proxy.settings_file, &[]);
+        let arguments = self.product_arguments("proxy", &proxy.settings_file, &[]);
         self.start(&name, &arguments)
     }
 
-    /// Starts one back end that no proxy knows of.
+    /// Starts one backend that is not in the platform's list, and returns its position.
     pub fn start_unlisted_backend(
         &mut self,
         service: &str,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> Result<usize, crate::Failure> {
         let name = format!("backend-{service}-{}", self.backends.len() + 1);
         let address = self.layout.ports.next_address();
         let runs_file = self.layout.folder.join(format!("{name}.runs"));
-        let place = BackendConfig { name, service: service.to_owned(), address, runs_file };
-        self.backends.push(place);
-        self.run_backend(self.backends.len() - 1, more)?;
+        let config = BackendConfig { name, service: service.to_owned(), address, runs_file };
+        self.backends.push(config);
+        self.run_backend(self.backends.len() - 1, extra_arguments)?;
         Ok(self.backends.len() - 1)
     }
 
-    /// Starts one back end and lists it as live.
+    /// Starts one backend, adds it to the platform's list as live, and returns its position.
     pub fn start_backend(
         &mut self,
         service: &str,
         zone: usize,
-        more: &[String],
+        extra_arguments: &[String],
     ) -> Result<usize, crate::Failure> {
         let zone = self.layout.spec.zones[zone].clone();
-        let position = self.start_unlisted_backend(service, more)?;
+        let position = self.start_unlisted_backend(service, extra_arguments)?;
         let address = self.backends[position].address;
         self.platform.set(ListedMachine {
             service: service.to_owned(),
@@ -140,23 +149,27 @@
         Ok(position)
     }
 
-    /// Starts the process of a placed back end, again after it was ended.
-    pub fn run_backend(&mut self, position: usize, more: &[String]) -> Result<(), crate::Failure> {
-        let place = self.backends[position].clone();
+    /// Starts or restarts the process of a configured backend.
+    pub fn run_backend(
+        &mut self,
+        position: usize,
+        extra_arguments: &[String],
+    ) -> Result<(), crate::Failure> {
+        let config = self.backends[position].clone();
         let mut arguments: Vec<String> = [
             "backend",
             "--listen",
-            &place.address.to_string(),
+            &config.address.to_string(),
             "--service",
-            &place.service,
+            &config.service,
             "--runs-file",
-            &place.runs_file.display().to_string(),
+            &config.runs_file.display().to_string(),
         ]
         .iter()
         .map(|argument| (*argument).to_owned())
         .collect();
-        arguments.extend(more.iter().cloned());
-        self.start(&place.name, &arguments)
+        arguments.extend(extra_arguments.iter().cloned());
+        self.start(&config.name, &arguments)
     }
 
     /// Starts all control replicas, relays and proxies of the layout, and waits for a leader.
@@ -170,29 +183,29 @@
         for position in 0..self.layout.proxies.len() {
             self.start_proxy(position)?;
         }
-        self.wait_until("a leader", START_LIMIT, |fleet| {
+        self.wait_until("a leader", START_TIMEOUT, |fleet| {
             fleet.layout.voters.iter().any(|voter| fleet.is_ready(voter.settings.metrics_listen))
         })
     }
 
-    /// Waits for a condition.
+    /// Polls until a condition holds; `what` names it in the error message.
     pub fn wait_until(
         &self,
         what: &str,
-        limit: Duration,
+        timeout: Duration,
         condition: impl Fn(&Self) -> bool,
     ) -> Result<(), crate::Failure> {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         while !condition(self) {
             if Instant::now() >= deadline {
-                return Err(format!("{what} did not come about within {limit:?}"));
+                return Err(format!("timed out after {timeout:?} waiting for {what}"));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Reads a text over HTTP; `None` if there is no answer with status 200.
+    /// Sends a GET request; returns `None` unless the response has status 200.
     pub fn get(&self, address: SocketAddr, path: &str) -> Option<String> {
         let mut answer = self.agent.get(format!("http://{address}{path}")).call().ok()?;
         if answer.status() != 200 {
@@ -201,26 +214,28 @@
         answer.body_mut().read_to_string().ok()
     }
 
-    /// Whether a process says that it is ready.
+    /// Returns whether a process reports that it is ready.
     pub fn is_ready(&self, metrics: SocketAddr) -> bool {
         self.get(metrics, "/readyz").is_some()
     }
 
-    /// A process's status.
+    /// Returns the status document of a process.
     pub fn status(&self, metrics: SocketAddr) -> Option<Value> {
         serde_json::from_str(&self.get(metrics, "/status")?).ok()
     }
 
-    /// The value of a metric.
+    /// Returns the value of a metric of a process.
     pub fn metric(&self, metrics: SocketAddr, name: &str) -> Option<f64> {
         let text = self.get(metrics, "/metrics")?;
         let line = text.lines().find(|line| line.split(' ').next() == Some(name))?;
         line.rsplit(' ').next()?.parse().ok()
     }
 
-    /// Generations in force on the proxies, by name; `None` for one that does not answer.
+    /// Returns the generation in force on each proxy, by name; `None` if the proxy does not respond
+    /// or has none.
     pub fn generations(&self) -> BTreeMap<String, Option<u64>> {
-        let generation = |metrics| self.status(metrics).and_then(|s| s["generation"].as_u64());
+        let generation =
+            |metrics| self.status(metrics).and_then(|status| status["generation"].as_u64());
         self.layout
             .proxies
             .iter()
@@ -228,15 +243,15 @@
             .collect()
     }
 
-    /// Waits until no proxy uses an upstream any more; returns how long that took.
+    /// Waits until no proxy lists an upstream any more, and returns how long that took.
     pub fn wait_until_unused(
         &self,
         upstream: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Duration, crate::Failure> {
         let start = Instant::now();
         let address = upstream.to_string();
-        self.wait_until("no new work for the leaving back end", limit, |fleet| {
+        self.wait_until("the leaving backend to receive no new work", timeout, |fleet| {
             fleet.layout.proxies.iter().all(|proxy| {
                 let status = fleet.status(proxy.settings.metrics_listen);
                 status.is_some_and(|status| !status["upstreams"].to_string().contains(&address))
@@ -245,38 +260,40 @@
         Ok(start.elapsed())
     }
 
-    /// Waits until all proxies have at least this generation; returns the time it took.
+    /// Waits until all proxies have at least this generation in force, and returns how long that
+    /// took.
     pub fn wait_in_force(
         &self,
         generation: u64,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Duration, crate::Failure> {
         let start = Instant::now();
-        let mut missing: Vec<SocketAddr> =
+        let mut pending: Vec<SocketAddr> =
             self.layout.proxies.iter().map(|proxy| proxy.settings.metrics_listen).collect();
-        while !missing.is_empty() {
-            missing.retain(|metrics| {
-                let held = self.status(*metrics).and_then(|s| s["generation"].as_u64());
-                held.is_none_or(|held| held < generation)
+        while !pending.is_empty() {
+            pending.retain(|metrics| {
+                let in_force =
+                    self.status(*metrics).and_then(|status| status["generation"].as_u64());
+                in_force.is_none_or(|in_force| in_force < generation)
             });
-            if start.elapsed() > limit {
-                return Err(format!("generation {generation} is not in force on {missing:?}"));
+            if start.elapsed() > timeout {
+                return Err(format!("generation {generation} is not in force on {pending:?}"));
             }
         }
         Ok(start.elapsed())
     }
 
-    /// A connection as the operator who submits.
+    /// Returns an API client that acts as the submitting operator.
     pub fn submitter(&self) -> Result<OperatorClient, crate::Failure> {
         self.layout.keys.client(SUBMITTER, self.layout.api())
     }
 
-    /// A connection as the operator who approves.
+    /// Returns an API client that acts as the approving operator.
     pub fn approver(&self) -> Result<OperatorClient, crate::Failure> {
         self.layout.keys.client(APPROVER, self.layout.api())
     }
 
-    /// Submits, approves and rolls a bundle; returns the generation.
+    /// Submits, approves and rolls out a bundle, and returns its generation.
     pub fn roll_out(
         &self,
         text: &str,
@@ -306,7 +323,7 @@
         Ok(digest)
     }
 
-    /// Rolls an approved bundle; returns the generation.
+    /// Rolls out an approved bundle and returns its generation.
     pub fn roll(
         &self,
         digest: Digest,
@@ -317,11 +334,12 @@
         let roll = Command::Roll { digest, expected_generation: expected, stages, advance_after_s };
         match send(&self.submitter()?, &roll)? {
             Accepted::Rolled { generation } => Ok(generation),
-            other => Err(format!("unexpected answer {other:?}")),
+            other => Err(format!("unexpected response to the roll command: {other:?}")),
         }
     }
 
-    /// Ends all processes, the planned way where they still run.
+    /// Stops all running processes with SIGTERM, kills those that do not exit, and returns a
+    /// message for each that failed to stop cleanly.
     pub fn stop_all(&mut self) -> Vec<String> {
         for process in self.processes.values_mut() {
             process.terminate();
@@ -339,7 +357,7 @@
     }
 }
 
-/// Sends an operator's command.
+/// Sends a command as an operator.
 pub fn send(client: &OperatorClient, command: &Command) -> Result<Accepted, crate::Failure> {
     let body = serde_json::to_vec(command).map_err(|error| error.to_string())?;
     client.post("/v1/commands", &body, None).map_err(|failure| failure.message)
--- a/crates/lab/src/soak/kept.rs
+++ b/crates/lab/src/soak/kept.rs
@@ -21,7 +21,7 @@
     NotConnected,
     /// A reused connection closed before any byte of the response.
     ClosedBetween,
-    /// The connection closed in any other way, or the response timed out.
+    /// The connection closed in any other way, or the response was invalid or timed out.
     Cut,
 }
 
--- a/crates/lab/src/stand_in/caller.rs
+++ b/crates/lab/src/stand_in/caller.rs
@@ -1,7 +1,7 @@
-//! Callers: open-loop, with checks of every answer, resending charges under their key.
+//! Open-loop callers that check every response and resend charges under the same key.
 
-use super::backend::{answer_body, NONCE_HEADER, SIZE_HEADER};
-use super::ledger::{Ledger, Told};
+use super::backend::{response_body, NONCE_HEADER, SIZE_HEADER};
+use super::ledger::{Ledger, ReportedOutcome};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,67 +12,68 @@
 use verdict::VERDICT_HEADER;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest latency the histograms hold, microseconds.
+/// Largest latency that the histograms record, microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Tries of one charge, the first included.
-const MAX_CHARGE_TRIES: usize = 6;
-const RESEND_PAUSE: Duration = Duration::from_millis(150);
+/// Attempts per charge, including the first.
+const MAX_CHARGE_ATTEMPTS: usize = 6;
+const RESEND_DELAY: Duration = Duration::from_millis(150);
 
 /// One kind of call.
 #[derive(Clone, Debug)]
 pub struct CallKind {
-    /// Service, which is also the path's first segment.
+    /// Service, which is also the first segment of the path.
     pub service: String,
-    /// Whether it is a charge with a key.
+    /// Whether the call is a charge with an idempotency key.
     pub is_charge: bool,
-    /// Size of the answer asked for, bytes.
+    /// Requested size of the response body, bytes.
     pub answer_bytes: usize,
 }
 
-/// What callers do.
+/// Load that callers generate.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Where calls are sent; each thread uses one address, charges may be resent through others.
+    /// Addresses that calls are sent to. Each thread uses one; charges are resent through the
+    /// others.
     pub targets: Vec<SocketAddr>,
-    /// Kinds, chosen in turn.
+    /// Kinds of calls, used in turn.
     pub kinds: Vec<CallKind>,
-    /// Caller threads.
+    /// Number of caller threads.
     pub threads: usize,
-    /// Calls a second in all.
+    /// Calls per second of all threads together.
     pub rate: f64,
-    /// Prefix of charge keys, unique to the run.
+    /// Prefix of the nonces and idempotency keys, unique to the run.
     pub key_prefix: String,
-    /// Time a caller gives each call, told to the proxy; an answer after it counts as late.
+    /// Time allowed per call, sent to the proxy as the deadline; a later response counts as late.
     pub deadline: Option<Duration>,
 }
 
-/// What became of the calls.
+/// Counts of the outcomes of calls.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Calls sent.
+    /// Calls sent, including resent ones.
     pub sent: u64,
-    /// Whole answers to the own request.
+    /// Complete and correct responses in time.
     pub answered: u64,
-    /// Refusals by verdict and kind.
+    /// Refused calls by verdict.
     pub refused: BTreeMap<String, u64>,
-    /// Whole answers after the caller's deadline, not counted as answered.
+    /// Complete and correct responses after the caller's deadline; not counted in `answered`.
     pub late: u64,
-    /// Connections that the proxy did not accept: nothing was sent.
+    /// Connections that the proxy refused, so that nothing was sent.
     pub unreachable: u64,
-    /// Connections lost between caller and proxy: cut calls.
+    /// Calls that ended with an error between caller and proxy.
     pub cut: u64,
-    /// Answers that belong to another call, or are not whole, marked as complete.
+    /// Responses with an unexpected body, or with an error status and no verdict.
     pub wrong: u64,
-    /// Examples of what went wrong.
+    /// Descriptions of some failed calls.
     pub examples: Vec<String>,
-    /// Latency of answered calls from their scheduled time, microseconds.
+    /// Latency of answered calls, measured from their scheduled time, microseconds.
     pub latency: Histogram<u64>,
-    /// Charges.
+    /// What callers were told about each charge.
     pub ledger: Ledger,
 }
 
 impl Tally {
-    /// Nothing yet.
+    /// Creates an empty tally.
     pub fn new() -> Self {
         Tally {
             sent: 0,
@@ -83,12 +84,13 @@
             cut: 0,
             wrong: 0,
             examples: Vec::new(),
-            latency: Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are valid"),
+            latency: Histogram::new_with_max(MAX_LATENCY_US, 3)
+                .expect("the histogram bounds are valid"),
             ledger: Ledger::default(),
         }
     }
 
-    /// Adds another tally.
+    /// Adds the counts of another tally.
     pub fn merge(&mut self, other: Tally) {
         self.sent += other.sent;
         self.answered += other.answered;
@@ -99,27 +101,27 @@
         for (verdict, count) in other.refused {
             *self.refused.entry(verdict).or_default() += count;
         }
-        let room = 8_usize.saturating_sub(self.examples.len());
-        self.examples.extend(other.examples.into_iter().take(room));
+        let free_examples = 8_usize.saturating_sub(self.examples.len());
+        self.examples.extend(other.examples.into_iter().take(free_examples));
         let _ = self.latency.add(&other.latency);
         self.ledger.merge(other.ledger);
     }
 
-    fn example(&mut self, text: String) {
+    fn add_example(&mut self, text: String) {
         if self.examples.len() < 4 {
             self.examples.push(text);
         }
     }
 }
 
-/// Callers that run in threads of their own.
+/// Running caller threads.
 pub struct RunningLoad {
     stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<Tally>>,
 }
 
 impl RunningLoad {
-    /// Starts the callers.
+    /// Starts the caller threads.
     pub fn start(plan: &LoadPlan) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..plan.threads)
@@ -131,14 +133,14 @@
         RunningLoad { stop, threads }
     }
 
-    /// Ends the callers and adds their tallies up.
+    /// Stops the callers and returns the sum of their tallies.
     pub fn finish(self) -> Tally {
         self.stop.store(true, Ordering::SeqCst);
         let mut tally = Tally::new();
         for thread in self.threads {
             match thread.join() {
-                Ok(own) => tally.merge(own),
-                Err(_) => tally.example("a caller thread ended early".to_owned()),
+                Ok(thread_tally) => tally.merge(thread_tally),
+                Err(_) => tally.add_example("a caller thread panicked".to_owned()),
             }
         }
         tally
@@ -152,11 +154,11 @@
     tally: Tally,
 }
 
-enum CallEnd {
+enum CallOutcome {
     Answered,
-    /// Verdict, and the kind of refusal.
+    /// Refused with this verdict and kind of refusal.
     Refused(String, String),
-    /// Nothing was sent: the proxy does not listen.
+    /// The proxy refused the connection, so nothing was sent.
     Unreachable,
     Cut(String),
     Wrong(String),
@@ -175,42 +177,43 @@
 
     fn run(mut self, stop: &AtomicBool) -> Tally {
         let interval = Duration::from_secs_f64(self.plan.threads as f64 / self.plan.rate);
-        // Threads start at different times within the interval, or they would call in step.
-        let phase = interval.mul_f64(self.number as f64 / self.plan.threads as f64);
-        let mut scheduled = Instant::now() + phase;
+        // Threads start at different times within the interval, so that they do not call in
+        // lockstep.
+        let offset = interval.mul_f64(self.number as f64 / self.plan.threads as f64);
+        let mut scheduled = Instant::now() + offset;
         let mut count = 0;
         while !stop.load(Ordering::Relaxed) {
             let pause = scheduled.saturating_duration_since(Instant::now());
             thread::sleep(pause);
             let kinds = &self.plan.kinds;
             let kind = kinds[(self.number + count) % kinds.len()].clone();
-            self.one_call(&kind, count, scheduled);
+            self.make_call(&kind, count, scheduled);
             scheduled += interval;
             count += 1;
         }
         self.tally
     }
 
-    fn one_call(&mut self, kind: &CallKind, count: usize, scheduled: Instant) {
+    fn make_call(&mut self, kind: &CallKind, count: usize, scheduled: Instant) {
         let nonce = format!("{}-{}-{count}", self.plan.key_prefix, self.number);
-        let tries = if kind.is_charge { MAX_CHARGE_TRIES } else { 1 };
-        for attempt in 0..tries {
+        let attempts = if kind.is_charge { MAX_CHARGE_ATTEMPTS } else { 1 };
+        for attempt in 0..attempts {
             let target = (self.number + attempt) % self.plan.targets.len();
-            let end = self.send(self.plan.targets[target], kind, &nonce);
+            let outcome = self.send(self.plan.targets[target], kind, &nonce);
             self.tally.sent += 1;
             if kind.is_charge {
-                self.tally.ledger.record(&nonce, told(&end));
+                self.tally.ledger.record(&nonce, reported_outcome(&outcome));
             }
-            let done = matches!(end, CallEnd::Answered | CallEnd::Wrong(_));
-            self.count(end, scheduled);
-            if done {
+            let final_outcome = matches!(outcome, CallOutcome::Answered | CallOutcome::Wrong(_));
+            self.count(outcome, scheduled);
+            if final_outcome {
                 return;
             }
-            thread::sleep(RESEND_PAUSE);
+            thread::sleep(RESEND_DELAY);
         }
     }
 
-    fn send(&self, target: SocketAddr, kind: &CallKind, nonce: &str) -> CallEnd {
+    fn send(&self, target: SocketAddr, kind: &CallKind, nonce: &str) -> CallOutcome {
         let uri = format!("http://{target}/{}/{nonce}", kind.service);
         let method = if kind.is_charge { "POST" } else { "GET" };
         let mut request = ureq::http::Request::builder()
@@ -232,11 +235,11 @@
         match answered {
             Ok(Ok(mut answer)) => {
                 let body = answer.body_mut().read_to_vec();
-                judge(kind, nonce, &answer, body)
+                check_response(kind, nonce, &answer, body)
             }
-            Ok(Err(error)) if is_refused_connection(&error) => CallEnd::Unreachable,
-            Ok(Err(error)) => CallEnd::Cut(error.to_string()),
-            Err(error) => CallEnd::Cut(error.to_string()),
+            Ok(Err(error)) if is_refused_connection(&error) => CallOutcome::Unreachable,
+            Ok(Err(error)) => CallOutcome::Cut(error.to_string()),
+            Err(error) => CallOutcome::Cut(error.to_string()),
         }
     }
 
@@ -244,37 +247,37 @@
         self.plan.deadline.is_some_and(|deadline| scheduled.elapsed() > deadline)
     }
 
-    fn count(&mut self, end: CallEnd, scheduled: Instant) {
-        match end {
-            CallEnd::Answered if self.is_late(scheduled) => self.tally.late += 1,
-            CallEnd::Unreachable => self.tally.unreachable += 1,
-            CallEnd::Answered => {
+    fn count(&mut self, outcome: CallOutcome, scheduled: Instant) {
+        match outcome {
+            CallOutcome::Answered if self.is_late(scheduled) => self.tally.late += 1,
+            CallOutcome::Unreachable => self.tally.unreachable += 1,
+            CallOutcome::Answered => {
                 self.tally.answered += 1;
                 let latency_us = scheduled.elapsed().as_micros() as u64;
                 let _ = self.tally.latency.record(latency_us.min(MAX_LATENCY_US));
             }
-            CallEnd::Refused(verdict, kind) => {
-                self.tally.example(format!("refused: {kind}"));
+            CallOutcome::Refused(verdict, kind) => {
+                self.tally.add_example(format!("refused: {kind}"));
                 *self.tally.refused.entry(verdict).or_default() += 1;
             }
-            CallEnd::Cut(text) => {
+            CallOutcome::Cut(text) => {
                 self.tally.cut += 1;
-                self.tally.example(format!("cut: {text}"));
+                self.tally.add_example(format!("cut: {text}"));
             }
-            CallEnd::Wrong(text) => {
+            CallOutcome::Wrong(text) => {
                 self.tally.wrong += 1;
-                self.tally.example(format!("wrong: {text}"));
+                self.tally.add_example(format!("wrong: {text}"));
             }
         }
     }
 }
 
-fn told(end: &CallEnd) -> Told {
-    match end {
-        CallEnd::Answered => Told::Answered,
-        CallEnd::Unreachable => Told::NotRun,
-        CallEnd::Refused(verdict, _) if verdict == "not-run" => Told::NotRun,
-        _ => Told::MayHaveRun,
+fn reported_outcome(outcome: &CallOutcome) -> ReportedOutcome {
+    match outcome {
+        CallOutcome::Answered => ReportedOutcome::Answered,
+        CallOutcome::Unreachable => ReportedOutcome::NotRun,
+        CallOutcome::Refused(verdict, _) if verdict == "not-run" => ReportedOutcome::NotRun,
+        _ => ReportedOutcome::MayHaveRun,
     }
 }
 
@@ -282,33 +285,33 @@
     matches!(error, ureq::Error::Io(cause) if cause.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// The kind in a proxy's refusal; a back end's own has no body.
+/// Returns the kind of refusal from a proxy's response body; a backend's refusal has no body.
 fn refusal_kind(body: &[u8]) -> String {
     let parsed: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     let kind = parsed.as_ref().and_then(|body| body["message"].as_str());
     kind.unwrap_or("by the back end").to_owned()
 }
 
-fn judge(
+fn check_response(
     kind: &CallKind,
     nonce: &str,
     answer: &ureq::http::Response<ureq::Body>,
     body: Result<Vec<u8>, ureq::Error>,
-) -> CallEnd {
+) -> CallOutcome {
     let body = match body {
         Ok(body) => body,
-        Err(error) => return CallEnd::Cut(error.to_string()),
+        Err(error) => return CallOutcome::Cut(error.to_string()),
     };
     let status = answer.status().as_u16();
     if status == 200 {
-        let expected = answer_body(&kind.service, nonce, kind.answer_bytes);
+        let expected = response_body(&kind.service, nonce, kind.answer_bytes);
         if body == expected {
-            return CallEnd::Answered;
+            return CallOutcome::Answered;
         }
-        return CallEnd::Wrong(format!("{nonce} got {}", String::from_utf8_lossy(&body)));
+        return CallOutcome::Wrong(format!("{nonce} got {}", String::from_utf8_lossy(&body)));
     }
     match answer.headers().get(VERDICT_HEADER).and_then(|verdict| verdict.to_str().ok()) {
-        Some(verdict) => CallEnd::Refused(verdict.to_owned(), refusal_kind(&body)),
-        None => CallEnd::Wrong(format!("{nonce} got status {status} without a verdict")),
+        Some(verdict) => CallOutcome::Refused(verdict.to_owned(), refusal_kind(&body)),
+        None => CallOutcome::Wrong(format!("{nonce} got status {status} without a verdict")),
     }
 }
--- a/crates/lab/src/stand_in/ledger.rs
+++ b/crates/lab/src/stand_in/ledger.rs
@@ -1,48 +1,53 @@
-//! What callers were told about charges, held against what back ends ran.
+//! Compares what callers were told about charges with what backends ran.
 
 use std::collections::BTreeMap;
 
-/// What the caller of one key knows at the end.
+/// What the attempts of a charge reported to its caller, taken together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Every try was refused as not run.
+pub enum ReportedOutcome {
+    /// Every attempt was refused with the verdict that it did not run.
     NotRun,
-    /// Some try may have run.
+    /// At least one attempt may have run, and none was answered.
     MayHaveRun,
-    /// An answer arrived.
+    /// An attempt was answered.
     Answered,
 }
 
-/// Charges by key.
+/// Reported outcomes of charges, by key.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    told: BTreeMap<String, Told>,
+    reported: BTreeMap<String, ReportedOutcome>,
 }
 
 impl Ledger {
-    /// Records what a try of a charge was told.
-    pub fn record(&mut self, key: &str, told: Told) {
-        let held = self.told.entry(key.to_owned()).or_insert(told);
-        *held = match (*held, told) {
-            (Told::Answered, _) | (_, Told::Answered) => Told::Answered,
-            (Told::MayHaveRun, _) | (_, Told::MayHaveRun) => Told::MayHaveRun,
-            _ => Told::NotRun,
+    /// Records the outcome that an attempt of a charge reported.
+    pub fn record(&mut self, key: &str, reported: ReportedOutcome) {
+        let combined = self.reported.entry(key.to_owned()).or_insert(reported);
+        *combined = match (*combined, reported) {
+            (ReportedOutcome::Answered, _) | (_, ReportedOutcome::Answered) => {
+                ReportedOutcome::Answered
+            }
+            (ReportedOutcome::MayHaveRun, _) | (_, ReportedOutcome::MayHaveRun) => {
+                ReportedOutcome::MayHaveRun
+            }
+            _ => ReportedOutcome::NotRun,
         };
     }
 
-    /// Adds another ledger's charges.
+    /// Adds the charges of another ledger.
     pub fn merge(&mut self, other: Ledger) {
-        for (key, told) in other.told {
-            self.record(&key, told);
+        for (key, reported) in other.reported {
+            self.record(&key, reported);
         }
     }
 
-    /// Number of charges.
+    /// Returns the number of charges.
     pub fn len(&self) -> usize {
-        self.told.len()
+        self.reported.len()
     }
 
-    /// Every contradiction between what was told and what ran.
+    /// Returns a message for each charge that ran twice, or whose reported outcome contradicts the
+    /// runs.
     pub fn contradictions(&self, runs: &BTreeMap<String, u64>) -> Vec<String> {
         let mut found = Vec::new();
         for (key, count) in runs {
@@ -50,11 +55,13 @@
                 found.push(format!("charge {key} ran {count} times"));
             }
         }
-        for (key, told) in &self.told {
+        for (key, reported) in &self.reported {
             let count = runs.get(key).copied().unwrap_or(0);
-            match told {
-                Told::NotRun if count > 0 => found.push(format!("charge {key} ran, told not-run")),
-                Told::Answered if count == 0 => {
+            match reported {
+                ReportedOutcome::NotRun if count > 0 => {
+                    found.push(format!("charge {key} ran, but was reported as not-run"))
+                }
+                ReportedOutcome::Answered if count == 0 => {
                     found.push(format!("charge {key} was answered but never ran"));
                 }
                 _ => {}
--- a/crates/lab/src/stand_in/link.rs
+++ b/crates/lab/src/stand_in/link.rs
@@ -1,6 +1,7 @@
-//! Links between zones: TCP forwarders with a delay, which can be cut and break connections.
+//! Emulated links between zones: TCP forwarders with a delay, which can partition a zone and break
+//! connections.
 //!
-//! A cut holds bytes back in silence, as a network without a route does; nothing is reset.
+//! A partition holds bytes back without resetting connections, as a network without a route does.
 
 use crate::fleet::ZoneSpec;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,9 +13,9 @@
 use std::time::{Duration, Instant};
 
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Pieces on their way in one direction of one connection.
-const PIECES_ON_THE_WAY: usize = 256;
-const STACK_BYTES: usize = 128 * 1024;
+/// Largest number of delayed chunks in one direction of one connection.
+const MAX_DELAYED_CHUNKS: usize = 256;
+const THREAD_STACK_BYTES: usize = 128 * 1024;
 
 /// One-way delays.
 #[derive(Clone, Copy, Debug)]
@@ -27,29 +28,29 @@
 
 #[derive(Default)]
 struct Faults {
-    /// Zones that reach no other zone.
-    cut_zones: BTreeSet<String>,
-    /// Raised to end all connections of a link that exist now.
+    /// Zones that cannot reach any other zone.
+    partitioned_zones: BTreeSet<String>,
+    /// Number of times that all open connections were broken; an increment breaks those open now.
     breaks: u64,
 }
 
 #[derive(Default)]
-struct Shared {
+struct SharedFaults {
     faults: Mutex<Faults>,
     changed: Condvar,
 }
 
-impl Shared {
+impl SharedFaults {
     fn lock(&self) -> MutexGuard<'_, Faults> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// All links of a fleet.
+/// All emulated links of a fleet.
 pub struct LinkNetwork {
     delays: Option<DelayPlan>,
     links: BTreeMap<(String, SocketAddr), SocketAddr>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedFaults>,
 }
 
 #[derive(Clone)]
@@ -58,22 +59,23 @@
     to: String,
     target: SocketAddr,
     delay: Duration,
-    shared: Arc<Shared>,
+    shared: Arc<SharedFaults>,
 }
 
-struct Piece {
+struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
 impl LinkNetwork {
-    /// A network without any link yet.
+    /// Creates a network without links.
     pub fn new(delays: Option<DelayPlan>) -> Self {
         LinkNetwork { delays, links: BTreeMap::new(), shared: Arc::default() }
     }
 
-    /// The address at which a process in `from` reaches `target` in `to`.
-    pub fn seen_from(
+    /// Returns the address at which a process in zone `from` reaches `target` in zone `to`, and
+    /// creates the link if needed.
+    pub fn address_from(
         &mut self,
         from: &ZoneSpec,
         target: SocketAddr,
@@ -83,8 +85,8 @@
         if from.name == to.name {
             return Ok(target);
         }
-        if let Some(known) = self.links.get(&(from.name.clone(), target)) {
-            return Ok(*known);
+        if let Some(existing) = self.links.get(&(from.name.clone(), target)) {
+            return Ok(*existing);
         }
         let same_region = from.region == to.region;
         let delay = if same_region { delays.between_zones } else { delays.between_regions };
@@ -95,14 +97,14 @@
         Ok(address)
     }
 
-    /// Cuts a zone off from all others.
+    /// Partitions a zone from all others.
     pub fn partition_zone(&self, zone: &str) {
-        self.shared.lock().cut_zones.insert(zone.to_owned());
+        self.shared.lock().partitioned_zones.insert(zone.to_owned());
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn heal(&self) {
-        self.shared.lock().cut_zones.clear();
+        self.shared.lock().partitioned_zones.clear();
         self.shared.changed.notify_all();
     }
 }
@@ -120,44 +122,45 @@
         Ok(address)
     }
 
-    fn forward(&self, near: TcpStream) {
-        let Ok(far) = TcpStream::connect(self.target) else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (Ok(near_read), Ok(far_read)) = (near.try_clone(), far.try_clone()) else { return };
-        let born = self.shared.lock().breaks;
-        let (there, back) = (self.clone(), self.clone());
-        let _ = spawn(move || there.carry(near_read, far, born));
-        back.carry(far_read, near, born);
+    fn forward(&self, local: TcpStream) {
+        let Ok(remote) = TcpStream::connect(self.target) else { return };
+        let _ = (local.set_nodelay(true), remote.set_nodelay(true));
+        let (Ok(local_rx), Ok(remote_rx)) = (local.try_clone(), remote.try_clone()) else { return };
+        let breaks_at_open = self.shared.lock().breaks;
+        let (to_remote, to_local) = (self.clone(), self.clone());
+        let _ = spawn(move || to_remote.forward_direction(local_rx, remote, breaks_at_open));
+        to_local.forward_direction(remote_rx, local, breaks_at_open);
     }
 
-    /// Carries one direction until it ends or breaks.
-    fn carry(&self, mut from: TcpStream, to: TcpStream, born: u64) {
-        let (sender, receiver) = sync_channel(PIECES_ON_THE_WAY);
+    /// Forwards one direction until its end or until the connection is broken.
+    fn forward_direction(&self, mut from: TcpStream, to: TcpStream, breaks_at_open: u64) {
+        let (sender, receiver) = sync_channel(MAX_DELAYED_CHUNKS);
         let link = self.clone();
-        let _ = spawn(move || link.deliver(&receiver, to, born));
-        read_all(&mut from, &sender, self.delay);
+        let _ = spawn(move || link.write_delayed(&receiver, to, breaks_at_open));
+        read_chunks(&mut from, &sender, self.delay);
     }
 
-    fn deliver(&self, pieces: &Receiver<Piece>, mut to: TcpStream, born: u64) {
-        for piece in pieces {
-            thread::sleep(piece.due.saturating_duration_since(Instant::now()));
-            let intact = self.wait_until_open(born);
-            if !intact || to.write_all(&piece.bytes).is_err() {
+    fn write_delayed(&self, chunks: &Receiver<Chunk>, mut to: TcpStream, breaks_at_open: u64) {
+        for chunk in chunks {
+            thread::sleep(chunk.due.saturating_duration_since(Instant::now()));
+            let intact = self.wait_while_partitioned(breaks_at_open);
+            if !intact || to.write_all(&chunk.bytes).is_err() {
                 break;
             }
         }
         let _ = to.shutdown(Shutdown::Both);
     }
 
-    /// Waits while the link is cut; false if the connection was broken.
-    fn wait_until_open(&self, born: u64) -> bool {
+    /// Waits while the link is partitioned; returns false if the connection was broken.
+    fn wait_while_partitioned(&self, breaks_at_open: u64) -> bool {
         let mut faults = self.shared.lock();
         loop {
-            if faults.breaks != born {
+            if faults.breaks != breaks_at_open {
                 return false;
             }
-            let cut = faults.cut_zones.contains(&self.from) || faults.cut_zones.contains(&self.to);
-            if !cut {
+            let partitioned = faults.partitioned_zones.contains(&self.from)
+                || faults.partitioned_zones.contains(&self.to);
+            if !partitioned {
                 return true;
             }
             faults = self.shared.changed.wait(faults).unwrap_or_else(PoisonError::into_inner);
@@ -165,14 +168,14 @@
     }
 }
 
-fn read_all(from: &mut TcpStream, pieces: &SyncSender<Piece>, delay: Duration) {
+fn read_chunks(from: &mut TcpStream, chunks: &SyncSender<Chunk>, delay: Duration) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         match from.read(&mut buffer) {
             Ok(0) | Err(_) => return,
             Ok(count) => {
-                let piece = Piece { due: Instant::now() + delay, bytes: buffer[..count].to_vec() };
-                if pieces.send(piece).is_err() {
+                let chunk = Chunk { due: Instant::now() + delay, bytes: buffer[..count].to_vec() };
+                if chunks.send(chunk).is_err() {
                     return;
                 }
             }
@@ -181,6 +184,6 @@
 }
 
 fn spawn(work: impl FnOnce() + Send + 'static) -> Result<(), crate::Failure> {
-    let builder = thread::Builder::new().stack_size(STACK_BYTES);
+    let builder = thread::Builder::new().stack_size(THREAD_STACK_BYTES);
     builder.spawn(work).map(|_| ()).map_err(|error| error.to_string())
 }
--- a/crates/lab/src/stand_in/mod.rs
+++ b/crates/lab/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what is outside the product.
+//! Stubs of what surrounds the product: callers, backends, network links and the platform.
 
 pub mod backend;
 pub mod caller;
--- a/crates/lab/src/stand_in/platform.rs
+++ b/crates/lab/src/stand_in/platform.rs
@@ -1,24 +1,24 @@
-//! The platform's list of machines.
+//! Stub of the platform: serves the list of machines over HTTP.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedMachine {
-    /// Service.
+    /// Service of the backend.
     pub service: String,
-    /// Address of the back end.
+    /// Address of the backend.
     pub address: SocketAddr,
-    /// Rises with every start.
+    /// Incremented with every start.
     pub incarnation: u64,
     /// `live` or `leaving`.
     pub state: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Region.
+    /// Region of the machine.
     pub region: String,
 }
 
@@ -28,18 +28,18 @@
     version: u64,
 }
 
-/// The list, served over HTTP.
+/// The list of machines, served over HTTP.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformList {
     state: Arc<Mutex<State>>,
 }
 
 impl PlatformList {
-    /// Serves a list that is empty at first.
+    /// Serves a list that is initially empty.
     pub fn serve(address: SocketAddr) -> Result<Self, crate::Failure> {
         let list = PlatformList::default();
-        let served = list.clone();
-        let server = rouille::Server::new(address, move |request| served.answer(request))
+        let served_list = list.clone();
+        let server = rouille::Server::new(address, move |request| served_list.respond(request))
             .map_err(|error| format!("cannot listen on {address}: {error}"))?;
         std::thread::spawn(move || server.run());
         Ok(list)
@@ -49,7 +49,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn answer(&self, request: &rouille::Request) -> rouille::Response {
+    fn respond(&self, request: &rouille::Request) -> rouille::Response {
         let state = self.lock();
         let tag = format!("v{}", state.version);
         if request.header("If-None-Match") == Some(&tag) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Lists a machine as started again.
+    /// Lists a machine as restarted: live, with the next incarnation.
     pub fn next_incarnation(&self, service: &str, address: SocketAddr) {
         let mut state = self.lock();
         state.version += 1;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes a machine off the list.
+    /// Removes a machine from the list.
     pub fn remove(&self, service: &str, address: SocketAddr) {
         let mut state = self.lock();
         state.version += 1;
