--- a/crates/lab/src/soak/callers.rs
+++ b/crates/lab/src/soak/callers.rs
@@ -3,7 +3,7 @@
 //! persistent connection until it is closed.
 
 use super::clock::{Clock, EventList};
-use super::kept::{CallOutcome, PersistentConnection};
+use super::kept::{PersistentConnection, ResponseOutcome};
 use super::machines::{Machines, CALLERS};
 use super::operator::{BASE_HOST, BASE_PATH};
 use super::upstream::{expected_body, ID_HEADER, POISON};
@@ -159,10 +159,10 @@
     headers.push("Host", BASE_HOST);
     headers.push(ID_HEADER, id.to_string());
     match connection.get(path, &headers) {
-        CallOutcome::NotConnected => CallOutcome::NotConnected,
-        CallOutcome::ClosedBetween => CallOutcome::ClosedBetween,
-        CallOutcome::Cut => CallOutcome::Cut,
-        CallOutcome::Answered(response) => {
+        ResponseOutcome::NotConnected => CallOutcome::NotConnected,
+        ResponseOutcome::ClosedBetween => CallOutcome::ClosedBetween,
+        ResponseOutcome::Cut => CallOutcome::Cut,
+        ResponseOutcome::Answered(response) => {
             let body_matches = response.body == expected_body(id, path, &[]).as_bytes();
             CallOutcome::Answered { status: response.status, body_matches }
         }
--- a/crates/lab/src/soak/kept.rs
+++ b/crates/lab/src/soak/kept.rs
@@ -14,7 +14,7 @@
 const READ_BYTES: usize = 16 * 1024;
 
 /// How a call on a persistent connection ended.
-pub enum CallOutcome {
+pub enum ResponseOutcome {
     /// A response arrived.
     Answered(Response),
     /// No connection was open and none could be established.
@@ -43,10 +43,10 @@
     }
 
     /// Sends a request without a body and waits for the response.
-    pub fn get(&mut self, path: &str, headers: &Headers) -> CallOutcome {
+    pub fn get(&mut self, path: &str, headers: &Headers) -> ResponseOutcome {
         let reused = self.is_open();
         let Some(mut stream) = self.stream.take().or_else(|| connect(self.address)) else {
-            return CallOutcome::NotConnected;
+            return ResponseOutcome::NotConnected;
         };
         let mut bytes = Vec::new();
         write_request(&mut bytes, "GET", path, headers, &[]);
@@ -57,18 +57,18 @@
         match read_response(&mut stream, &mut exchange) {
             Ok(Answer { response, reusable }) => {
                 self.stream = reusable.then_some(stream);
-                CallOutcome::Answered(response)
+                ResponseOutcome::Answered(response)
             }
             Err(no_bytes_received) if no_bytes_received => closed_without_response(reused),
-            Err(_) => CallOutcome::Cut,
+            Err(_) => ResponseOutcome::Cut,
         }
     }
 }
 
-fn closed_without_response(reused: bool) -> CallOutcome {
+fn closed_without_response(reused: bool) -> ResponseOutcome {
     match reused {
-        true => CallOutcome::ClosedBetween,
-        false => CallOutcome::Cut,
+        true => ResponseOutcome::ClosedBetween,
+        false => ResponseOutcome::Cut,
     }
 }
 
