--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -24,7 +24,7 @@
     pub job: JobId,
     /// Whether a call that occupies a slot at another upstream waits for this one. Such calls precede
     /// all new work, whatever their rank: refusing or delaying them also wastes the other slot.
-    pub begun: bool,
+    pub nested: bool,
     /// Priority rank among waiting calls; 0 should_remove first.
     pub rank: u32,
     /// Tenant of the call; tenants of the same rank take turns.
@@ -187,7 +187,7 @@
 
     fn key(&self, request: SlotRequest) -> QueueKey {
         let turn = self.shares.turn(request.rank, request.tenant);
-        (!request.begun, request.rank, turn, request.target_ms, self.arrivals)
+        (!request.nested, request.rank, turn, request.target_ms, self.arrivals)
     }
 
     /// Returns the expected wait of a call with this many ahead of it, milliseconds. It covers the wait
--- a/crates/admission/tests/cold_start.rs
+++ b/crates/admission/tests/cold_start.rs
@@ -44,7 +44,7 @@
         self.ends.push(now + SERVICE_MS);
     }
 
-    fn step(&mut self, now: u64, calls: usize, begun: bool, patience_ms: u64) {
+    fn step(&mut self, now: u64, calls: usize, nested: bool, patience_ms: u64) {
         let ended = self.ends.iter().filter(|end| **end <= now).count();
         self.ends.retain(|end| *end > now);
         for _ in 0..ended {
@@ -59,7 +59,7 @@
             let deadline = now + 2_000;
             let (job, rank, tenant, target_ms) = (self.next, 1, None, 300);
             let request =
-                SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline };
+                SlotRequest { job, nested, rank, tenant, target_ms, patience_ms, deadline };
             match self.admission.submit(request, now) {
                 Decision::Run => self.started(now),
                 Decision::Wait => {}
@@ -166,7 +166,7 @@
     admission.set_cold_until(COLD_MS);
     let request = SlotRequest {
         job: 1,
-        begun: false,
+        nested: false,
         rank: 1,
         tenant: None,
         target_ms: 300,
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -9,8 +9,8 @@
 }
 
 fn request_with_target(job: u64, rank: u32, target_ms: u64, patience_ms: u64) -> SlotRequest {
-    let (begun, tenant, deadline) = (false, None, 1_000_000);
-    SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline }
+    let (nested, tenant, deadline) = (false, None, 1_000_000);
+    SlotRequest { job, nested, rank, tenant, target_ms, patience_ms, deadline }
 }
 
 fn full() -> Admission {
@@ -106,7 +106,7 @@
 #[test]
 fn what_a_run_waits_for_goes_before_all_new_work() {
     let nested =
-        |job, rank, patience_ms| SlotRequest { begun: true, ..request(job, rank, patience_ms) };
+        |job, rank, patience_ms| SlotRequest { nested: true, ..request(job, rank, patience_ms) };
     let mut admission = full();
     assert_eq!(admission.submit(request(10, 0, 900), 0), Decision::Wait);
     assert_eq!(admission.submit(nested(11, 2, 900), 1), Decision::Wait);
@@ -123,7 +123,7 @@
         assert_eq!(admission.submit(request(job, 0, 900), 0), Decision::Wait);
     }
     // Two slots of 100 ms each: behind ten others a call would wait for 550 ms.
-    let nested = |job| SlotRequest { begun: true, ..request(job, 1, 60) };
+    let nested = |job| SlotRequest { nested: true, ..request(job, 1, 60) };
     assert!(admission.check_room(request(20, 1, 60), 0).is_err(), "new work is refused");
     assert_eq!(admission.submit(nested(21), 0), Decision::Wait);
     assert!(
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -16,7 +16,7 @@
 fn request(job: u64, tenant: Option<TenantKey>) -> SlotRequest {
     SlotRequest {
         job,
-        begun: false,
+        nested: false,
         rank: 1,
         tenant,
         target_ms: 600,
@@ -38,7 +38,7 @@
     }
     let urgent = SlotRequest { rank: 0, ..request(15, key("hot")) };
     assert_eq!(admission.submit(urgent, 2), Decision::Wait);
-    let nested = SlotRequest { begun: true, rank: 9, ..request(16, None) };
+    let nested = SlotRequest { nested: true, rank: 9, ..request(16, None) };
     assert_eq!(admission.submit(nested, 2), Decision::Wait);
     let mut order = Vec::new();
     for _ in 0..7 {
--- a/crates/coordinator/src/listener.rs
+++ b/crates/coordinator/src/listener.rs
@@ -131,7 +131,7 @@
                 | CoordinatorFrame::Records { .. }
                 | CoordinatorFrame::Loads { .. }
                 | CoordinatorFrame::Poison { .. }) => self.registry_loop.receive(frame),
-                CoordinatorFrame::CreditPull { member, lacks: missing } => {
+                CoordinatorFrame::CreditPull { member, missing } => {
                     self.quotas.handle_pull(member, &missing)
                 }
                 CoordinatorFrame::CreditTransfer { member, credits } => {
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -58,7 +58,7 @@
         let PoolResponse { answer, pulls } = self.lock().pools.request(node, request, now);
         let member = self.group.own.0;
         for (peer, missing) in pulls {
-            let frame = CoordinatorFrame::CreditPull { member, lacks: missing };
+            let frame = CoordinatorFrame::CreditPull { member, missing };
             self.transport.send(MemberId(peer), frame);
         }
         answer
--- a/crates/mesh/src/hop.rs
+++ b/crates/mesh/src/hop.rs
@@ -56,7 +56,7 @@
     pub suspect: bool,
     /// Whether an upstream call that holds a slot elsewhere waits for this one: a refusal would
     /// waste the work that it has already done.
-    pub begun: bool,
+    pub nested: bool,
     /// Whether the call was sent to another upstream before; the calls that it makes are then
     /// repeats.
     pub repeat: bool,
@@ -68,7 +68,7 @@
 
 // Flags in the tenth word of a request.
 const SUSPECT: char = 's';
-const BEGUN: char = 'b';
+const NESTED: char = 'b';
 const REPEAT: char = 'r';
 const HEDGE: char = 'h';
 
@@ -77,7 +77,7 @@
     pub fn encode(&self) -> String {
         let flags = [
             (self.suspect, SUSPECT),
-            (self.begun, BEGUN),
+            (self.nested, NESTED),
             (self.repeat, REPEAT),
             (self.hedge, HEDGE),
         ];
@@ -122,7 +122,7 @@
             instance: words.next().filter(|id| *id != "-").map(str::to_owned),
             departure: decode_departure(words.next(), words.next()),
             suspect: false,
-            begun: false,
+            nested: false,
             repeat: false,
             hedge: false,
             usual_ms: 0,
@@ -132,7 +132,7 @@
         Some(HopRequest {
             usual_ms,
             suspect: flags.contains(SUSPECT),
-            begun: flags.contains(BEGUN),
+            nested: flags.contains(NESTED),
             repeat: flags.contains(REPEAT),
             hedge: flags.contains(HEDGE),
             ..request
@@ -203,9 +203,9 @@
     pub link_full: bool,
     /// Current service time of the upstream, percent of the usual service time of its service; 0 if
     /// not known.
-    pub pace_percent: u32,
+    pub service_time_percent: u32,
     /// The same as reported by the upstream itself, percent; 0 if not reported.
-    pub told_pace_percent: u32,
+    pub reported_service_time_percent: u32,
 }
 
 impl HopReply {
@@ -243,8 +243,8 @@
             self.egress_wait_ms,
             self.egress_bytes_per_ms,
             u8::from(self.link_full),
-            self.pace_percent,
-            self.told_pace_percent
+            self.service_time_percent,
+            self.reported_service_time_percent
         )
     }
 
@@ -275,7 +275,7 @@
         let quarantine_left_ms = optional();
         let (egress_wait_ms, egress_bytes_per_ms) = (optional(), optional());
         let link_full = optional() == 1;
-        let (pace_percent, told_pace_percent) = (optional(), optional());
+        let (service_time_percent, reported_service_time_percent) = (optional(), optional());
         let mut crash = || {
             let number = words.next().and_then(|word| u64::from_str_radix(word, 16).ok());
             CrashId(number.unwrap_or(0))
@@ -300,8 +300,8 @@
             egress_wait_ms,
             egress_bytes_per_ms,
             link_full,
-            pace_percent,
-            told_pace_percent,
+            service_time_percent,
+            reported_service_time_percent,
         })
     }
 }
--- a/crates/mesh/src/link.rs
+++ b/crates/mesh/src/link.rs
@@ -133,7 +133,7 @@
         /// The sender.
         member: u64,
         /// Missing amounts by tenant.
-        lacks: Vec<CreditAmount>,
+        missing: Vec<CreditAmount>,
     },
     /// Credits that the sender moved from its pools to the receiver's.
     CreditTransfer {
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -14,9 +14,9 @@
     /// Credits for calls that are waiting.
     pub need: u16,
     /// Credits to prefetch for the calls expected next.
-    pub ahead: u16,
+    pub prefetch: u16,
     /// Unspent credits held by the sidecar.
-    pub kept: u16,
+    pub held: u16,
     /// Requests sent to upstreams without a credit (retries) and not reported yet.
     pub debt: u16,
     /// Calls that the sidecar refused for lack of credit since its last credit request.
@@ -31,7 +31,7 @@
     /// Credits for calls that are waiting.
     pub granted: u16,
     /// Prefetched credits to hold.
-    pub ahead: u16,
+    pub prefetch: u16,
     /// Delay after which more credit is expected, milliseconds; used if calls are still waiting.
     pub retry_ms: u16,
     /// Whether credit was requested from another coordinator, so that more may arrive shortly.
--- a/crates/mesh/src/record.rs
+++ b/crates/mesh/src/record.rs
@@ -173,7 +173,7 @@
     /// Recent time for which a call occupies a slot, milliseconds, at most 65,535.
     pub service_ms: u16,
     /// Current service time, percent of the usual service time of its service; 0 if not known.
-    pub pace_percent: u16,
+    pub service_time_percent: u16,
     /// Utilization of its machine's network link, percent; 0 if not known.
     pub link_percent: u8,
     /// Expected wait of a large response for that link, milliseconds, at most 65,535.
@@ -195,16 +195,16 @@
             running: clamp(running),
             queued: clamp(queued),
             service_ms,
-            pace_percent: 0,
+            service_time_percent: 0,
             link_percent: 0,
             egress_wait_ms: 0,
         }
     }
 
     /// Sets the service time, percent of the usual one.
-    pub fn with_pace(self, percent: u32) -> Self {
-        let pace_percent = u16::try_from(percent).unwrap_or(u16::MAX);
-        UpstreamLoad { pace_percent, ..self }
+    pub fn with_service_time_percent(self, percent: u32) -> Self {
+        let service_time_percent = u16::try_from(percent).unwrap_or(u16::MAX);
+        UpstreamLoad { service_time_percent, ..self }
     }
 
     /// Sets the utilization of the machine's link, percent.
--- a/crates/mesh/tests/hop.rs
+++ b/crates/mesh/tests/hop.rs
@@ -23,8 +23,8 @@
         egress_wait_ms: 310,
         egress_bytes_per_ms: 1900,
         link_full: true,
-        pace_percent: 0,
-        told_pace_percent: 0,
+        service_time_percent: 0,
+        reported_service_time_percent: 0,
     }
 }
 
@@ -77,7 +77,7 @@
         instance: None,
         departure: Some(Departure { clock: 0xab, at_ms: 77 }),
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
@@ -87,14 +87,14 @@
 #[test]
 fn a_request_is_read_as_it_was_written() {
     expect!["900 120 2 600 1 fares - ab 77"].assert_eq(&request().encode());
-    let suspect = HopRequest { suspect: true, begun: false, ..request() };
+    let suspect = HopRequest { suspect: true, nested: false, ..request() };
     expect!["900 120 2 600 1 fares - ab 77 s"].assert_eq(&suspect.encode());
-    let begun = HopRequest { begun: true, ..request() };
-    expect!["900 120 2 600 1 fares - ab 77 b"].assert_eq(&begun.encode());
-    let both = HopRequest { begun: true, ..suspect.clone() };
+    let nested = HopRequest { nested: true, ..request() };
+    expect!["900 120 2 600 1 fares - ab 77 b"].assert_eq(&nested.encode());
+    let both = HopRequest { nested: true, ..suspect.clone() };
     expect!["900 120 2 600 1 fares - ab 77 sb"].assert_eq(&both.encode());
     let without_departure = HopRequest { departure: None, ..suspect.clone() };
-    for request in [request(), suspect, without_departure, begun, both] {
+    for request in [request(), suspect, without_departure, nested, both] {
         assert_eq!(HopRequest::decode(&request.encode()), Some(request));
     }
 }
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -367,7 +367,7 @@
             |sample: LoadSample| sample.from_reply && now < sample.at + REPLY_PRECEDENCE_MS;
         if !self.load_sample.is_some_and(has_newer_reply) {
             self.set_load(load.total_calls(), f64::from(load.service_ms), false, now);
-            self.note_pace(u32::from(load.pace_percent), now);
+            self.note_pace(u32::from(load.service_time_percent), now);
         }
     }
 
@@ -452,7 +452,7 @@
         self.set_load(reply.running + reply.queued, service_ms, true, now);
         self.egress.report_wait(f64::from(reply.egress_wait_ms), now);
         self.egress.set_throughput(f64::from(reply.egress_bytes_per_ms));
-        self.note_pace(reply.pace_percent, now);
+        self.note_pace(reply.service_time_percent, now);
         self.unanswered = UnansweredDelay::default();
         self.replied_at = Some(now);
     }
--- a/crates/placement/tests/view.rs
+++ b/crates/placement/tests/view.rs
@@ -54,8 +54,8 @@
         egress_wait_ms: 0,
         egress_bytes_per_ms: 0,
         link_full: false,
-        pace_percent: 0,
-        told_pace_percent: 0,
+        service_time_percent: 0,
+        reported_service_time_percent: 0,
     }
 }
 
@@ -242,7 +242,7 @@
 fn chosen_at_pace(pace: f64, spread: &LatencyHistogram, moved_bytes: f64) -> u8 {
     let mut view = view(&[(1, "a"), (2, "b")]);
     for (host, pace) in [(1, pace), (2, 1.0)] {
-        let load = UpstreamLoad::new(0, 0, 100).with_pace((pace * 100.0) as u32);
+        let load = UpstreamLoad::new(0, 0, 100).with_service_time_percent((pace * 100.0) as u32);
         view.note_load(&address(host), load, 0);
     }
     let request = Request {
@@ -375,7 +375,11 @@
 fn paced(first: u32, second: u32) -> PlacementView {
     let mut view = view(&[(1, "a"), (2, "a")]);
     for (host, percent) in [(1, first), (2, second)] {
-        view.note_load(&address(host), UpstreamLoad::new(0, 0, 100).with_pace(percent), 0);
+        view.note_load(
+            &address(host),
+            UpstreamLoad::new(0, 0, 100).with_service_time_percent(percent),
+            0,
+        );
     }
     view
 }
@@ -391,9 +395,9 @@
     assert_eq!(choose(&view, &[], 0), Some(2));
     // The other one is slowed down by another workload on its machine; all senders learn it from
     // the next load report.
-    view.note_load(&address(2), UpstreamLoad::new(0, 0, 100).with_pace(300), 600);
+    view.note_load(&address(2), UpstreamLoad::new(0, 0, 100).with_service_time_percent(300), 600);
     assert_eq!(choose(&view, &[], 600), Some(1));
-    view.note_load(&address(2), UpstreamLoad::new(0, 0, 100).with_pace(60), 1_200);
+    view.note_load(&address(2), UpstreamLoad::new(0, 0, 100).with_service_time_percent(60), 1_200);
     assert_eq!(choose(&view, &[], 1_200), Some(2));
     // A reported pace expires, after which the pace that this sender learned applies.
     let pace = |view: &PlacementView, at| view.get(&address(1)).expect("known upstream").pace(at);
@@ -405,7 +409,11 @@
 fn paces_that_cannot_be_are_bounded_and_none_changes_nothing() {
     for (percent, expected) in [(0, 1.4), (1, 0.1), (65_535, 30.0)] {
         let mut view = paced(140, 100);
-        view.note_load(&address(1), UpstreamLoad::new(0, 0, 100).with_pace(percent), 10);
+        view.note_load(
+            &address(1),
+            UpstreamLoad::new(0, 0, 100).with_service_time_percent(percent),
+            10,
+        );
         assert_eq!(view.get(&address(1)).expect("known upstream").pace(10), expected, "{percent}");
     }
 }
@@ -521,7 +529,7 @@
     for pace in [105, 140, 200] {
         let chosen = [0, 1, 2, 4].map(|running| {
             let mut view = paced(60, pace);
-            let load = UpstreamLoad::new(running, 0, 100).with_pace(60);
+            let load = UpstreamLoad::new(running, 0, 100).with_service_time_percent(60);
             view.note_load(&address(1), load, 0);
             choose(&view, &[], 0).expect("two are live")
         });
--- a/crates/quota/examples/cost.rs
+++ b/crates/quota/examples/cost.rs
@@ -26,7 +26,7 @@
     let started = Instant::now();
     for round in 0..ROUNDS {
         let tenant = TenantId(round * 7 % COORDINATOR_TENANTS);
-        let ask = CreditAsk { tenant, need: 1, ahead: 0, kept: 0, debt: 0, refused: 0 };
+        let ask = CreditAsk { tenant, need: 1, prefetch: 0, held: 0, debt: 0, refused: 0 };
         let now = 10 + round / 100;
         let request = CreditRequest { asked_at: now, lends: true, asks: vec![ask] };
         pools.request(address((round % u64::from(SIDECARS)) as u32), request, now);
--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -108,7 +108,7 @@
 struct PendingAsk {
     asked_at: Millis,
     need: u16,
-    ahead: u16,
+    prefetch: u16,
 }
 
 /// A coordinator's report that there is no credit.
@@ -212,7 +212,7 @@
     }
 
     fn pending_prefetch(&self) -> u32 {
-        self.pending.iter().map(|ask| u32::from(ask.ahead)).sum()
+        self.pending.iter().map(|ask| u32::from(ask.prefetch)).sum()
     }
 
     /// Number of waiting calls for which no credit was requested, or none granted in time.
@@ -547,27 +547,27 @@
     let may_ask = now >= account.next_ask_at;
     let need = if may_ask { account.unrequested(times.timeout_ms, now) } else { 0 };
     let prefetch_due = now >= account.last_ask_at + PREFETCH_INTERVAL_MS;
-    let ahead = if need > 0 || prefetch_due { account.prefetch(times.mean_ms, now) } else { 0 };
-    let send = need > 0 || prefetch_due && (ahead > 0 || account.debt > 0);
+    let prefetch = if need > 0 || prefetch_due { account.prefetch(times.mean_ms, now) } else { 0 };
+    let send = need > 0 || prefetch_due && (prefetch > 0 || account.debt > 0);
     if !send {
         return None;
     }
     account.last_ask_at = now;
     let saturated = |count: u32| u16::try_from(count).unwrap_or(u16::MAX);
-    let kept = saturated(account.held + account.pending_prefetch());
+    let held = saturated(account.held + account.pending_prefetch());
     let debt = saturated(std::mem::take(&mut account.debt));
     let refused = saturated(std::mem::take(&mut account.refused));
-    let (need, ahead) = (saturated(need), saturated(ahead));
-    account.pending.push_back(PendingAsk { asked_at: now, need, ahead });
-    Some(CreditAsk { tenant, need, ahead, kept, debt, refused })
+    let (need, prefetch) = (saturated(need), saturated(prefetch));
+    account.pending.push_back(PendingAsk { asked_at: now, need, prefetch });
+    Some(CreditAsk { tenant, need, prefetch, held, debt, refused })
 }
 
 fn apply_grant<T>(account: &mut Account<T>, grant: CreditGrant, asked_at: Millis, now: Millis) {
-    let CreditGrant { granted, ahead, retry_ms, pulling, .. } = grant;
+    let CreditGrant { granted, prefetch, retry_ms, pulling, .. } = grant;
     let newest = account.pending.back().is_none_or(|ask| ask.asked_at <= asked_at);
     account.pending.retain(|ask| ask.asked_at != asked_at);
     if now < asked_at + LEASE_MS {
-        account.held += u32::from(granted) + u32::from(ahead);
+        account.held += u32::from(granted) + u32::from(prefetch);
         account.held_until = account.held_until.max(asked_at + LEASE_MS);
     }
     if !newest {
--- a/crates/quota/src/pool.rs
+++ b/crates/quota/src/pool.rs
@@ -139,10 +139,10 @@
         let spare = (self.available() + ROUNDING_TOLERANCE).floor().clamp(0.0, f64::from(u16::MAX));
         let granted = ask.need.min(spare as u16);
         self.debit(f64::from(granted), now);
-        let ahead = self.prefetch(ask.ahead);
+        let prefetch = self.prefetch(ask.prefetch);
         // Prefetched credit may be spent as late as the end of its lease.
-        self.debit(f64::from(ahead), now + LEASE_MS);
-        let amount = f64::from(ask.kept) + f64::from(ahead);
+        self.debit(f64::from(prefetch), now + LEASE_MS);
+        let amount = f64::from(ask.held) + f64::from(prefetch);
         self.held.remove(&node);
         if amount > 0.0 {
             self.held.insert(node, HeldCredit { amount, until: now + LEASE_MS });
@@ -151,11 +151,11 @@
         if missing > 0.0 {
             self.last_shortage = Some(now);
         }
-        self.granted += u64::from(granted) + u64::from(ahead);
+        self.granted += u64::from(granted) + u64::from(prefetch);
         self.refused += u64::from(ask.need - granted) + u64::from(ask.refused);
         self.unmet += missing + f64::from(ask.refused);
         let retry_ms = self.retry_ms(now);
-        CreditGrant { tenant: ask.tenant, granted, ahead, retry_ms, pulling: false }
+        CreditGrant { tenant: ask.tenant, granted, prefetch, retry_ms, pulling: false }
     }
 
     fn debit(&mut self, amount: f64, at: Millis) {
--- a/crates/quota/src/pools.rs
+++ b/crates/quota/src/pools.rs
@@ -180,7 +180,7 @@
         let share = self.share;
         let Some(KnownTenant { limit, since }) = self.tenants.get(&ask.tenant).copied() else {
             let (tenant, retry_ms) = (ask.tenant, UNKNOWN_TENANT_RETRY_MS);
-            return CreditGrant { tenant, granted: 0, ahead: 0, retry_ms, pulling: false };
+            return CreditGrant { tenant, granted: 0, prefetch: 0, retry_ms, pulling: false };
         };
         let create = || Pool::new(limit, share.current, share.initial_fill(since, now), now);
         let pool = self.pools.entry(ask.tenant).or_insert_with(create);
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -420,13 +420,13 @@
                         Event::Deliver { from_zone: to, to: incarnation as usize, message: answer };
                     self.push(at, event);
                 }
-                for (peer, lacks) in response.pulls {
-                    self.count_peer_bytes(to, &lacks);
-                    self.send(to, peer as usize, Message::Pull(to, lacks));
+                for (peer, missing) in response.pulls {
+                    self.count_peer_bytes(to, &missing);
+                    self.send(to, peer as usize, Message::Pull(to, missing));
                 }
             }
-            Message::Pull(from, lacks) => {
-                let credits = self.coordinators[to].pools.give(&lacks, now);
+            Message::Pull(from, missing) => {
+                let credits = self.coordinators[to].pools.give(&missing, now);
                 self.count_peer_bytes(to, &credits);
                 self.send(to, from, Message::Transfer(to, credits));
             }
@@ -438,9 +438,9 @@
     }
 
     fn count_peer_bytes(&mut self, member: usize, amounts: &[CreditAmount]) {
-        let (member, lacks) = (member as u64, amounts.to_vec());
+        let (member, missing) = (member as u64, amounts.to_vec());
         let mut bytes = Vec::new();
-        encode_frame(&mesh::CoordinatorFrame::CreditPull { member, lacks }, &mut bytes);
+        encode_frame(&mesh::CoordinatorFrame::CreditPull { member, missing }, &mut bytes);
         self.peer_frames += 1;
         self.peer_bytes += bytes.len();
     }
--- a/crates/quota/tests/gate.rs
+++ b/crates/quota/tests/gate.rs
@@ -15,8 +15,8 @@
     gate
 }
 
-fn answer(request: &CreditRequest, granted: u16, ahead: u16) -> CreditAnswer {
-    let grant = CreditGrant { tenant: TENANT, granted, ahead, retry_ms: 300, pulling: false };
+fn answer(request: &CreditRequest, granted: u16, prefetch: u16) -> CreditAnswer {
+    let grant = CreditGrant { tenant: TENANT, granted, prefetch, retry_ms: 300, pulling: false };
     CreditAnswer { asked_at: request.asked_at, nodes: 10, grants: vec![grant] }
 }
 
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -195,7 +195,7 @@
                     upstream.note_latency(f64::from(reply.spent_ms), usual_ms, now);
                     let (spent_ms, pace) = (f64::from(reply.spent_ms), upstream.pace(now));
                     // 0 means that the upstream did not report a pace.
-                    let reported_pace = match reply.told_pace_percent {
+                    let reported_pace = match reply.reported_service_time_percent {
                         0 => 1.0,
                         percent => f64::from(percent) / 100.0,
                     };
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -203,7 +203,7 @@
     /// When to consider a hedge for each call.
     hedges_due: BTreeSet<(Millis, CallId)>,
     hedges_barred_until: Millis,
-    repeats_reported_at: Millis,
+    retries_reported_at: Millis,
     next_call: CallId,
     /// Configuration generation in which the keys of all calls were last looked up.
     keys_checked: u64,
@@ -247,7 +247,7 @@
             hedging: true,
             hedges_due: BTreeSet::new(),
             hedges_barred_until: 0,
-            repeats_reported_at: 0,
+            retries_reported_at: 0,
             next_call: 1,
             keys_checked: 0,
             denials_logged: LogRateLimit::new(MAX_DENIALS_LOGGED_PER_SECOND),
@@ -342,8 +342,8 @@
         let timeout = u64::from(route.timeout_ms);
         let caller_timeout_ms = request.headers.number(self.names.deadline_ms).unwrap_or(timeout);
         let urgency = urgency_of(route, holder.as_ref());
-        let standing = self.poison.standing(&service, &request, now);
-        if let RequestStatus::Quarantined { left_ms } = standing {
+        let status = self.poison.request_status(&service, &request, now);
+        if let RequestStatus::Quarantined { left_ms } = status {
             self.return_credit(holder.as_ref(), now);
             return vec![self.refuse_quarantined(origin, &attempt_id, &route.name, left_ms)];
         }
@@ -380,7 +380,7 @@
             target_ms: urgency.target_ms,
             service,
             track,
-            suspect: standing == RequestStatus::Suspect,
+            suspect: status == RequestStatus::Suspect,
             from_local_run: initiator != Initiator::Caller,
             arrived,
             caller_timeout_ms,
--- a/crates/sidecar/src/calls/placing.rs
+++ b/crates/sidecar/src/calls/placing.rs
@@ -205,7 +205,7 @@
             instance: record.map(|instance| instance.id.clone()),
             departure: Some(Departure { clock: self.clock, at_ms: now }),
             suspect: call.suspect,
-            begun: call.from_local_run,
+            nested: call.from_local_run,
             repeat: call.arrivals > 0,
             hedge: false,
             usual_ms: self.times.usual_ms(&call.route).map_or(0, |ms| ms.round() as u32),
--- a/crates/sidecar/src/calls/repeats.rs
+++ b/crates/sidecar/src/calls/repeats.rs
@@ -47,11 +47,11 @@
 
     /// Once a second, records how many nodes share the retry budget and logs the retries of each
     /// service that had any.
-    pub fn report_repeats(&mut self, now: Millis) {
-        if now < self.repeats_reported_at + REPORT_INTERVAL_MS {
+    pub fn report_retries(&mut self, now: Millis) {
+        if now < self.retries_reported_at + REPORT_INTERVAL_MS {
             return;
         }
-        self.repeats_reported_at = now;
+        self.retries_reported_at = now;
         self.budget.note_nodes(self.view.nodes(), now);
         for (service, tally) in self.budget.take_counts() {
             if tally.retries + tally.refused == 0 {
--- a/crates/sidecar/src/dialect.rs
+++ b/crates/sidecar/src/dialect.rs
@@ -36,7 +36,7 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// Current duration of its work, in percent of the usual duration at its service.
-    pub pace_percent: Option<u32>,
+    pub service_time_percent: Option<u32>,
 }
 
 /// A registration message from an upstream.
--- a/crates/sidecar/src/jobs/arrival.rs
+++ b/crates/sidecar/src/jobs/arrival.rs
@@ -69,11 +69,11 @@
     ) -> Vec<JobAction> {
         let attempt_id = request.headers.text(self.names.attempt_id).unwrap_or("-").to_owned();
         let TransitDelay { waited_ms, offered_ms } = delay;
-        let standing = self.poison.standing(&self.service, &request, now);
-        let suspect = hop.suspect || standing == RequestStatus::Suspect;
+        let status = self.poison.request_status(&self.service, &request, now);
+        let suspect = hop.suspect || status == RequestStatus::Suspect;
         let ineligible = self.ineligible_reason(hop, now).or(delay.late_reason(hop));
-        if let Some(reason) = ineligible.or_else(|| self.quarantine_reason(standing, suspect)) {
-            let refusal = self.early_refusal(&attempt_id, reason, delay, standing, &request);
+        if let Some(reason) = ineligible.or_else(|| self.quarantine_reason(status, suspect)) {
+            let refusal = self.early_refusal(&attempt_id, reason, delay, status, &request);
             return vec![self.refuse(source, refusal, now)];
         }
         let kind = EgressClass { rank: hop.rank, target_ms: hop.target_ms };
@@ -82,7 +82,7 @@
             patience_ms: hop.patience_ms.saturating_sub(waited_ms),
             deadline_ms: hop.deadline_ms.saturating_sub(waited_ms + offered_ms),
         };
-        if let Some(retry_after_ms) = self.link_refusal(leaves && !hop.begun, kind, time, now) {
+        if let Some(retry_after_ms) = self.link_refusal(leaves && !hop.nested, kind, time, now) {
             let refusal = Refusal {
                 link_full: true,
                 ..no_room(&attempt_id, "link_full", offered_ms, retry_after_ms)
@@ -92,11 +92,12 @@
         let job = self.next_job;
         self.next_job += 1;
         let deadline = now + hop.deadline_ms.saturating_sub(waited_ms + offered_ms);
-        let HopRequest { begun, rank, target_ms, .. } = *hop;
+        let HopRequest { nested, rank, target_ms, .. } = *hop;
         let patience_ms = hop.patience_ms.saturating_sub(waited_ms);
         let tenant = request.headers.get(self.names.tenant).map(TenantKey::of);
-        let ticket = SlotRequest { job, begun, rank, tenant, target_ms, patience_ms, deadline };
-        let decision = self.admission.submit(ticket, now);
+        let slot_request =
+            SlotRequest { job, nested, rank, tenant, target_ms, patience_ms, deadline };
+        let decision = self.admission.submit(slot_request, now);
         if let Decision::Refuse { retry_after_ms } = decision {
             let reason = self.no_room_reason(now);
             let refusal = no_room(&attempt_id, reason, offered_ms, retry_after_ms);
@@ -133,10 +134,10 @@
         id: &'a str,
         reason: &'a str,
         delay: TransitDelay,
-        standing: RequestStatus,
+        status: RequestStatus,
         request: &Request,
     ) -> Refusal<'a> {
-        let (quarantine_left_ms, quarantine_crashes) = match standing {
+        let (quarantine_left_ms, quarantine_crashes) = match status {
             RequestStatus::Quarantined { left_ms } => {
                 (left_ms, self.poison.newest_crashes(&self.service, request))
             }
@@ -184,8 +185,8 @@
     /// The reason to keep a call from the upstream because its request may crash it. Only one
     /// suspect runs at a time: if the upstream crashes, the culprit is known, and the other
     /// suspects have not been run for nothing.
-    fn quarantine_reason(&self, standing: RequestStatus, suspect: bool) -> Option<&'static str> {
-        if matches!(standing, RequestStatus::Quarantined { .. }) {
+    fn quarantine_reason(&self, status: RequestStatus, suspect: bool) -> Option<&'static str> {
+        if matches!(status, RequestStatus::Quarantined { .. }) {
             return Some("quarantined");
         }
         let another = suspect && self.jobs.values().any(|job| job.suspect);
--- a/crates/sidecar/src/jobs/mod.rs
+++ b/crates/sidecar/src/jobs/mod.rs
@@ -272,17 +272,17 @@
         UpstreamLoad::new(running, queued, self.admission.service_ms() as u32)
             .with_link(self.link_percent)
             .with_egress_wait(self.egress.wait_ms())
-            .with_pace(self.pace.percent(now))
+            .with_service_time_percent(self.pace.percent(now))
     }
 
     /// Sets the available capacity of this machine's outgoing link.
-    pub fn set_link_room(&mut self, room: LinkState) {
-        self.egress.set_link_state(room);
+    pub fn set_link_state(&mut self, state: LinkState) {
+        self.egress.set_link_state(state);
     }
 
     /// Handles a load report that the upstream sent with an answer.
     pub fn note_load_report(&mut self, report: ReportedLoad, now: Millis) {
-        if let Some(percent) = report.pace_percent {
+        if let Some(percent) = report.service_time_percent {
             self.pace.note_reported(percent, now);
         }
         let all = report.running.saturating_add(report.waiting);
@@ -410,8 +410,8 @@
             egress_wait_ms: u32::try_from(self.egress.wait_ms()).unwrap_or(u32::MAX),
             egress_bytes_per_ms: self.egress.bytes_per_ms() as u32,
             link_full: false,
-            pace_percent: self.pace.percent(now),
-            told_pace_percent: self.pace.reported_percent(now),
+            service_time_percent: self.pace.percent(now),
+            reported_service_time_percent: self.pace.reported_percent(now),
         }
     }
 
--- a/crates/sidecar/src/jobs/offers.rs
+++ b/crates/sidecar/src/jobs/offers.rs
@@ -116,13 +116,14 @@
         if let Some(reason) = self.ineligible_reason(hop, now).or(delay.late_reason(hop)) {
             return Some((reason, waited_ms));
         }
-        let HopRequest { begun, rank, target_ms, .. } = *hop;
+        let HopRequest { nested, rank, target_ms, .. } = *hop;
         let patience_ms = hop.patience_ms.saturating_sub(waited_ms);
         let deadline = now + hop.deadline_ms.saturating_sub(waited_ms);
         // The tenant is read from the complete request later.
         let tenant = None;
-        let ticket = SlotRequest { job: 0, begun, rank, tenant, target_ms, patience_ms, deadline };
-        if let Err(retry_after_ms) = self.admission.check_room(ticket, now) {
+        let slot_request =
+            SlotRequest { job: 0, nested, rank, tenant, target_ms, patience_ms, deadline };
+        if let Err(retry_after_ms) = self.admission.check_room(slot_request, now) {
             return Some(("no_room", retry_after_ms));
         }
         let transfer = Transfer { id: self.offers.next, bytes, rank, target_ms, patience_ms };
--- a/crates/sidecar/src/links/telling.rs
+++ b/crates/sidecar/src/links/telling.rs
@@ -35,7 +35,7 @@
     pub fn send_load(&mut self, net: &mut Net, load: UpstreamLoad, now: Millis) {
         let age_ms = now.saturating_sub(self.load_sent_at);
         let counts =
-            |load: UpstreamLoad| (load.running, load.queued, load.pace_percent / PACE_STEP);
+            |load: UpstreamLoad| (load.running, load.queued, load.service_time_percent / PACE_STEP);
         let changed = self.sent_load.map(counts) != Some(counts(load));
         let due_ms = if changed { LOAD_INTERVAL_MS } else { LOAD_REPEAT_MS };
         if age_ms < due_ms {
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -261,7 +261,7 @@
     }
 
     /// Available capacity of this machine's outgoing link.
-    pub fn link_room(&self) -> LinkState {
+    pub fn link_state(&self) -> LinkState {
         LinkState {
             bytes_per_ms: self.pacer.available_bytes_per_ms(self.now_ms()),
             waiting_bytes: self.pacer.bytes(),
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -60,9 +60,9 @@
         PoisonWatch(Rc::new(RefCell::new(state)))
     }
 
-    /// Standing of a request. Its fingerprint is computed only while there are suspects or
+    /// Status of a request. Its fingerprint is computed only while there are suspects or
     /// quarantines.
-    pub fn standing(&self, service: &str, request: &Request, now: Millis) -> RequestStatus {
+    pub fn request_status(&self, service: &str, request: &Request, now: Millis) -> RequestStatus {
         let state = self.0.borrow();
         match state.quarantine.is_empty() {
             true => RequestStatus::Clear,
--- a/crates/sidecar/src/runtime/dispatch.rs
+++ b/crates/sidecar/src/runtime/dispatch.rs
@@ -353,5 +353,5 @@
 
 /// The priority of the call's answer among the messages that wait for the link.
 fn send_urgency(hop: &HopRequest) -> SendUrgency {
-    SendUrgency { deferrable: !hop.begun, rank: hop.rank, target_ms: hop.target_ms }
+    SendUrgency { deferrable: !hop.nested, rank: hop.rank, target_ms: hop.target_ms }
 }
--- a/crates/sidecar/src/runtime/link.rs
+++ b/crates/sidecar/src/runtime/link.rs
@@ -13,7 +13,7 @@
         self.link_meter.received(passed.received, now);
         self.link_meter.sent(passed.sent, now);
         self.jobs.link_percent = self.link_meter.percent(now);
-        self.jobs.set_link_room(self.net.link_room());
+        self.jobs.set_link_state(self.net.link_state());
     }
 
     /// Logs when large answers begin to wait for the link, and when they stop waiting.
@@ -22,7 +22,7 @@
         let Some(change) = self.link_full_detector.note(wait_ms, now) else {
             return;
         };
-        let waiting_bytes = self.net.link_room().waiting_bytes;
+        let waiting_bytes = self.net.link_state().waiting_bytes;
         let refusals = self.jobs.link_refusals();
         let counts = self.net.pacer_counts();
         let (paced, longest_ms) = (counts.messages_paced, counts.longest_ms as u64);
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -350,7 +350,7 @@
             link_percent: self.jobs.link_percent,
             sent: self.net.pacer_counts(),
             sent_bytes: self.net.sent_bytes(),
-            link_waiting_bytes: self.net.link_room().waiting_bytes,
+            link_waiting_bytes: self.net.link_state().waiting_bytes,
             link_refusals: self.jobs.link_refusals(),
             cold_refusals: self.jobs.cold_refusals(),
             failing_percent: self.jobs.failing_percent(self.now()),
@@ -463,7 +463,7 @@
             self.links.send_evidence(&mut self.net, evidence);
         }
         self.poison.expire(now);
-        self.calls.report_repeats(now);
+        self.calls.report_retries(now);
         self.calls.quota.run_maintenance(self.config.tenants().any_limit(), now);
         self.request_config(now);
         if now >= RESTORE_WAIT_MS {
--- a/crates/sidecar/tests/begun_work.rs
+++ b/crates/sidecar/tests/begun_work.rs
@@ -37,7 +37,7 @@
     let mut world = World::with_upstreams(1);
     let new = hop(&world.begin("GET", "/inner/1")).expect("the call is sent");
     let begun = hop(&world.begin_nested("/inner/1")).expect("the call is sent");
-    assert!(!new.begun && begun.begun);
+    assert!(!new.nested && begun.nested);
     assert!(
         new.patience_ms <= 120,
         "{} ms: a longer wait would make the call miss its target",
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -95,7 +95,7 @@
         for host in 1..=3 {
             world.add_upstream(host);
         }
-        world.calls.report_repeats(NODES_KNOWN_MS);
+        world.calls.report_retries(NODES_KNOWN_MS);
         world
     }
 
@@ -115,7 +115,7 @@
         for host in 1..=count {
             world.add_upstream(host);
         }
-        world.calls.report_repeats(NODES_KNOWN_MS);
+        world.calls.report_retries(NODES_KNOWN_MS);
         world
     }
 
@@ -274,8 +274,8 @@
         egress_wait_ms: 0,
         egress_bytes_per_ms: 0,
         link_full: false,
-        pace_percent: 0,
-        told_pace_percent: 0,
+        service_time_percent: 0,
+        reported_service_time_percent: 0,
     }
 }
 
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -70,7 +70,7 @@
             instance: None,
             departure: None,
             suspect,
-            begun: false,
+            nested: false,
             repeat: false,
             hedge: false,
             usual_ms: 0,
--- a/crates/sidecar/tests/decision_log.rs
+++ b/crates/sidecar/tests/decision_log.rs
@@ -173,7 +173,7 @@
         instance: None,
         departure: None,
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
--- a/crates/sidecar/tests/egress.rs
+++ b/crates/sidecar/tests/egress.rs
@@ -114,10 +114,10 @@
     sockets.net.send(small, b"small");
     sockets.run_until(&[0, 1], |sockets| sockets.peer(1).received == b"small");
     assert!(sockets.peer(0).received.len() < LARGE_BYTES / 2);
-    assert!(sockets.net.link_room().waiting_bytes > 0);
+    assert!(sockets.net.link_state().waiting_bytes > 0);
     sockets.run_until(&[0, 1], |sockets| sockets.peer(0).received.len() == LARGE_BYTES);
     assert_eq!(sockets.peer(0).received, pattern(LARGE_BYTES, 1));
-    assert_eq!(sockets.net.link_room().waiting_bytes, 0);
+    assert_eq!(sockets.net.link_state().waiting_bytes, 0);
     assert_eq!(sockets.net.due_in_ms(), None);
 }
 
@@ -140,9 +140,9 @@
     sockets.net.send(left, &pattern(LARGE_BYTES, 3));
     sockets.net.send(stays, &pattern(LARGE_BYTES / 8, 4));
     sockets.net.close(left);
-    assert_eq!(sockets.net.link_room().waiting_bytes, LARGE_BYTES / 8);
+    assert_eq!(sockets.net.link_state().waiting_bytes, LARGE_BYTES / 8);
     sockets.run_until(&[1], |sockets| sockets.peer(1).received.len() == LARGE_BYTES / 8);
-    assert_eq!(sockets.net.link_room().waiting_bytes, 0);
+    assert_eq!(sockets.net.link_state().waiting_bytes, 0);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     };
     jobs.gate.on_report(&record, 1, 0);
     jobs.refresh_limit(0);
-    jobs.set_link_room(room);
+    jobs.set_link_state(room);
     jobs
 }
 
@@ -216,7 +216,7 @@
         instance: None,
         departure: None,
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
@@ -259,7 +259,7 @@
     let mut jobs = jobs(room);
     let job = run(&begin(&mut jobs, peer(0), &hop(), 0)).expect("the first call is accepted");
     end(&mut jobs, job, bytes, RUN_MS);
-    jobs.set_link_room(room);
+    jobs.set_link_state(room);
     jobs
 }
 
@@ -289,14 +289,14 @@
     assert!(refusal(&begin(&mut jobs, peer(1), &hop(), 1_000)).is_some());
     let beside = Source::Local(Attempt { call: 1, number: 1 });
     assert!(run(&begin(&mut jobs, beside, &hop(), 1_000)).is_some());
-    let begun = HopRequest { begun: true, ..hop() };
-    assert!(run(&begin(&mut jobs, peer(2), &begun, 1_000)).is_some());
+    let nested = HopRequest { nested: true, ..hop() };
+    assert!(run(&begin(&mut jobs, peer(2), &nested, 1_000)).is_some());
     // Another kind of call, whose answers are small.
     let small = HopRequest { target_ms: 200, ..hop() };
     let job = run(&begin(&mut jobs, peer(3), &small, 1_000))
         .expect("a call of an unknown kind is accepted");
     end(&mut jobs, job, 700, 1_050);
-    jobs.set_link_room(LinkState { waiting_bytes: 2_000_000, ..ROOM });
+    jobs.set_link_state(LinkState { waiting_bytes: 2_000_000, ..ROOM });
     assert!(run(&begin(&mut jobs, peer(4), &small, 1_100)).is_some());
 }
 
--- a/crates/sidecar/tests/hedge.rs
+++ b/crates/sidecar/tests/hedge.rs
@@ -20,14 +20,14 @@
 }
 
 fn answered(spent_ms: u32, status: u16) -> AttemptEnd {
-    let reply = HopReply { spent_ms, pace_percent: 100, ..reply(HopOutcome::Answered) };
+    let reply = HopReply { spent_ms, service_time_percent: 100, ..reply(HopOutcome::Answered) };
     AttemptEnd::Replied(reply, Response::empty(status))
 }
 
 /// Reports that each upstream runs this many calls.
 fn report_loads(world: &mut World, running: u32) {
     for host in 1..=3 {
-        let load = UpstreamLoad::new(running, 0, USUAL_MS).with_pace(100);
+        let load = UpstreamLoad::new(running, 0, USUAL_MS).with_service_time_percent(100);
         world.calls.view.note_load(&upstream(host), load, world.now);
     }
 }
@@ -219,7 +219,7 @@
             || {
                 let mut world = trained();
                 report_loads(&mut world, SLOTS - 3);
-                let load = UpstreamLoad::new(SLOTS, 0, USUAL_MS).with_pace(100);
+                let load = UpstreamLoad::new(SLOTS, 0, USUAL_MS).with_service_time_percent(100);
                 world.calls.view.note_load(&upstream(1), load, world.now);
                 world
             },
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -58,7 +58,7 @@
         instance: instance.map(str::to_owned),
         departure: None,
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
@@ -381,8 +381,8 @@
     assert!(started(&jobs.begin(source(3), request(), &hedge, 500)).is_some());
 }
 
-fn load(running: u32, waiting: u32, pace_percent: Option<u32>) -> ReportedLoad {
-    ReportedLoad { running, waiting, slots: SLOTS, pace_percent }
+fn load(running: u32, waiting: u32, service_time_percent: Option<u32>) -> ReportedLoad {
+    ReportedLoad { running, waiting, slots: SLOTS, service_time_percent }
 }
 
 #[test]
@@ -415,13 +415,13 @@
     let mut paces = Vec::new();
     for pace in [None, Some(120), Some(0), Some(u32::MAX), Some(300)] {
         jobs.note_load_report(load(0, 0, pace), 0);
-        paces.push(jobs.load_report(0).pace_percent);
+        paces.push(jobs.load_report(0).service_time_percent);
     }
     assert_eq!(paces, [0, 120, 120, 120, 300]);
     // A new incarnation starts without a pace.
     jobs.gate.on_report(&record("i-2", InstanceState::Ready), 2, 100);
     jobs.refresh_limit(0);
-    assert_eq!(jobs.load_report(100).pace_percent, 0);
+    assert_eq!(jobs.load_report(100).service_time_percent, 0);
 }
 
 #[test]
--- a/crates/sidecar/tests/offers.rs
+++ b/crates/sidecar/tests/offers.rs
@@ -118,7 +118,7 @@
         instance: Some("i-1".to_owned()),
         departure: None,
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -240,7 +240,7 @@
     }
 
     fn left_ms(&self, sidecar: usize) -> Option<u64> {
-        match self.watches[sidecar].standing(SERVICE, &request(), self.now) {
+        match self.watches[sidecar].request_status(SERVICE, &request(), self.now) {
             RequestStatus::Quarantined { left_ms } => Some(left_ms),
             RequestStatus::Suspect | RequestStatus::Clear => None,
         }
--- a/crates/sidecar/tests/quotas.rs
+++ b/crates/sidecar/tests/quotas.rs
@@ -45,9 +45,9 @@
     world.calls.quota.request(COORDINATOR, world.now).expect("a credit request")
 }
 
-fn answer(world: &mut World, request: &CreditRequest, granted: u16, ahead: u16, retry_ms: u16) {
+fn answer(world: &mut World, request: &CreditRequest, granted: u16, prefetch: u16, retry_ms: u16) {
     let tenant = tenant_id("a");
-    let grants = vec![CreditGrant { tenant, granted, ahead, retry_ms, pulling: false }];
+    let grants = vec![CreditGrant { tenant, granted, prefetch, retry_ms, pulling: false }];
     let answer = CreditAnswer { asked_at: request.asked_at, nodes: 10, grants };
     world.calls.quota.answered(answer, world.now);
 }
--- a/crates/sidecar/tests/transit.rs
+++ b/crates/sidecar/tests/transit.rs
@@ -99,7 +99,7 @@
         instance: None,
         departure: Some(departure(CLOCK, SENDER_OFFSET_MS + sent)),
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
--- a/crates/sidecar/tests/trial.rs
+++ b/crates/sidecar/tests/trial.rs
@@ -50,7 +50,7 @@
         instance: None,
         departure: None,
         suspect: false,
-        begun: false,
+        nested: false,
         repeat: false,
         hedge: false,
         usual_ms: 0,
