--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -7,8 +7,8 @@
     TIME_HEADER,
 };
 use crate::members::{change_group, Groups, MemberChange as Change};
+use crate::propagation::SharedSpread;
 use crate::replica::RequestError;
-use crate::spread::SharedSpread;
 use bundle::{Approval, Digest, LIMITS};
 use consensus::Membership;
 use rollout::{Command, GenerationRecord, Refusal, Request, SpreadSummary, VersionSummary};
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -10,10 +10,10 @@
 mod authentication;
 mod machine;
 mod members;
+mod propagation;
 mod replica;
 mod runtime;
 mod serve;
-mod spread;
 mod transport;
 
 pub use api::{ApiError, MemberChange, MembersView, StatusView};
--- a/crates/control/src/serve.rs
+++ b/crates/control/src/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::machine::ConfigState;
 use crate::members::Groups;
+use crate::propagation::SharedSpread;
 use crate::replica::{Published, RequestError};
-use crate::spread::SharedSpread;
 use bundle::{best_update, Bundle, BundleUpdate};
 use claims::{group_of, ClaimCommand};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -7,7 +7,7 @@
 mod budget;
 mod canary_share;
 mod choice;
-mod cold_part;
+mod cold_limit;
 mod egress_seen;
 mod fleet_size;
 mod hedge;
@@ -24,7 +24,7 @@
 pub use budget::{BudgetBounds, RequestOrigin, RetryBudget, RetryCounts};
 pub use canary_share::CanaryShares;
 pub use choice::Request;
-pub use cold_part::PRESUMED_COLD_MS;
+pub use cold_limit::PRESUMED_COLD_MS;
 pub use hedge::HedgePlan;
 pub use locality::{Distance, Locality, Regions};
 pub use pressure::{CallEnd, LoadShedder};
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -1,6 +1,6 @@
 //! State of one upstream as this node knows it.
 
-use crate::cold_part::ColdLimit;
+use crate::cold_limit::ColdLimit;
 use crate::egress_seen::EgressEstimate;
 use crate::Millis;
 use mesh::{
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -8,7 +8,7 @@
 mod advance;
 mod command;
 mod machine;
-mod spread;
+mod propagation;
 mod view;
 
 pub use advance::Advancer;
@@ -17,5 +17,5 @@
     CanaryRecord, ConfigMachine, EvacuationRecord, GenerationKind, GenerationRecord,
     RolloutWeakness, StoredBundle, VersionSummary,
 };
-pub use spread::{FleetSpread, Laggard, RelayReport, SpreadSummary, REPORT_LEASE_MS};
+pub use propagation::{FleetSpread, Laggard, RelayReport, SpreadSummary, REPORT_LEASE_MS};
 pub use view::{Candidate, GenerationTarget, ProxyName, Stage, TargetView};
--- a/crates/sidecar/src/calls/mod.rs
+++ b/crates/sidecar/src/calls/mod.rs
@@ -10,7 +10,7 @@
 mod hedge;
 mod keys;
 mod placing;
-mod repeats;
+mod retry_budget;
 mod time;
 
 use self::call::Call;
--- a/crates/sidecar/src/links/mod.rs
+++ b/crates/sidecar/src/links/mod.rs
@@ -9,8 +9,8 @@
 mod choice;
 mod content;
 mod credits;
+mod reports;
 mod subscription;
-mod telling;
 
 pub use choice::chosen;
 
