--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -25,12 +25,13 @@
     /// Whether a call that occupies a slot at another upstream waits for this one. Such calls precede
     /// all new work, whatever their rank: refusing or delaying them also wastes the other slot.
     pub nested: bool,
-    /// Priority rank among waiting calls; 0 should_remove first.
+    /// Priority rank among waiting calls; 0 is the highest.
     pub rank: u32,
     /// Tenant of the call; tenants of the same rank take turns.
     pub tenant: Option<TenantKey>,
-    /// Target latency of the route, milliseconds; within a turn, the shorter one should_remove first. Where
-    /// request ids do not show which calls are nested, the nested ones mostly have the shortest target.
+    /// Target latency of the route, milliseconds; within a turn, the shorter one is served first.
+    /// Where request ids do not show which calls are nested, the nested ones mostly have the
+    /// shortest target.
     pub target_ms: u64,
     /// Longest useful wait in the queue, milliseconds.
     pub patience_ms: u64,
--- a/crates/canary/src/plan.rs
+++ b/crates/canary/src/plan.rs
@@ -26,8 +26,8 @@
 /// Minimum wait, milliseconds, after which every sidecar has received the step and the calls that it
 /// sent before have arrived.
 const MIN_SHIFT_MS: Millis = 500;
-/// Time reserved at the end, milliseconds, for a leader that fails meanwhile and for clients that poll
-/// the result rarely.
+/// Time reserved at the end, milliseconds, for a leader that fails during it and for clients
+/// that poll the result rarely.
 const MARGIN_MS: f64 = 2_000.0;
 /// Time reserved at the end if the step to all calls was delayed by doubt, milliseconds.
 const MIN_MARGIN_MS: f64 = 500.0;
--- a/crates/canary/tests/model.rs
+++ b/crates/canary/tests/model.rs
@@ -1,5 +1,5 @@
-//! Thousands of drawn canaries against the real core: how much a bad version is given, how soon it
-//! is seen, and how often a good one is rejected.
+//! Thousands of randomized canaries against the real core: how many calls a bad version receives,
+//! how soon it is detected, and how often a good one is rejected.
 
 use canary::{judge, Evidence, Facts, Phase, Plan, Step, Sums, Verdict};
 use expect_test::expect;
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 
 const RUNS: u64 = 40;
-/// Draws of each bad case that are looked at besides, with seeds of their own.
+/// Additional runs of each bad case, with separate seeds.
 const FURTHER_RUNS: u64 = 100;
 const FIRST_FURTHER_SEED: u64 = 10_000;
 const STEP_MS: u64 = 200;
@@ -17,10 +17,10 @@
 const EXPOSED_SLACK: f64 = 50.0;
 /// Upstreams of each version.
 const UPSTREAMS: usize = 22;
-/// How many times longer an ill upstream takes, if that is what ails it.
+/// Latency factor of a degraded upstream whose fault is slowness.
 const ILL_FACTOR: f64 = 4.0;
 const CALLS_PER_S: f64 = 430.0;
-/// What is told is so old when it is judged, in steps: telling, looking, and the way.
+/// Age of a report when it is judged, in steps: report interval, evaluation interval and transit.
 const DELAY_STEPS: usize = 3;
 const RUN: u64 = 7;
 const CLASSES: [(CallClass, f64, f64); 2] = [
@@ -28,25 +28,25 @@
     (CallClass { rank: 1, target_ms: 1_000 }, 0.1, 300.0),
 ];
 
-/// What is drawn.
+/// Parameters of one randomized case.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
-    /// Part of the answers of the new version that fail.
+    /// Fraction of the responses of the new version that fail.
     fails: f64,
-    /// Part of its answers that take five times as long.
+    /// Fraction of its responses that take five times as long.
     slow: f64,
-    /// From when on it is bad, milliseconds.
+    /// Time at which it becomes bad, milliseconds.
     from_ms: u64,
     /// Whether only the rarer class shows it.
     one_class: bool,
-    /// Part of all upstreams, of either version, that are ill.
+    /// Fraction of the upstreams of both versions that are degraded.
     grey: f64,
-    /// Whether an ill one is slow; else it fails 45 in 100.
+    /// Whether a degraded upstream is slow; otherwise it fails 45 in 100 calls.
     grey_is_slow: bool,
-    /// Part of all calls, with either version, that fail for want of an inner call.
+    /// Fraction of calls, with either version, that fail because a nested call fails.
     overload: f64,
-    /// Calls a second of the service.
+    /// Calls per second to the service.
     calls_per_s: f64,
     /// Upstreams of each version.
     upstreams: usize,
@@ -80,7 +80,7 @@
     Case { name: "fails, few calls", fails: 0.5, calls_per_s: 60.0, ..GOOD },
 ];
 
-/// Fewer and more upstreams, ill ones that are slow, flaws that come late or show on few calls.
+/// Fewer and more upstreams, slow degraded ones, and defects that start late or affect few calls.
 const FURTHER_CASES: [Case; 15] = [
     Case { name: "good, 2 upstreams", upstreams: 2, calls_per_s: 80.0, ..GOOD },
     Case { name: "good, 4 upstreams", upstreams: 4, calls_per_s: 80.0, ..GOOD },
@@ -127,7 +127,7 @@
     exposed: f64,
 }
 
-/// How one canary ended.
+/// Outcome of one canary.
 struct End {
     phase: Phase,
     at_ms: u64,
@@ -234,7 +234,7 @@
                 end_ms = now;
             }
             if next == Phase::RolledBack {
-                // Word of it is on its way for one step more.
+                // The rollback takes one more step to reach the callers.
                 world.calls(permille, now);
                 break;
             }
@@ -249,7 +249,7 @@
     judge(evidence.whole(), &evidence.recent()).verdict
 }
 
-/// What became of the draws of each case.
+/// Summarizes the outcomes of the runs of each case.
 fn table(cases: &[Case]) -> String {
     let mut table = String::new();
     for case in cases {
@@ -335,7 +335,7 @@
     end.exposed > end.asked * EXPOSED_PART + EXPOSED_SLACK
 }
 
-/// Does not look at the recent past by itself.
+/// Ignores the recent evidence, as a judge without that check would.
 fn whole_only(evidence: &Evidence) -> Verdict {
     judge(evidence.whole(), &Sums::default()).verdict
 }
@@ -357,7 +357,8 @@
     assert_eq!(beyond, 20, "a broken variant that the check notices");
 }
 
-/// A version whose flaw shows on few calls is given more than its bound before it is taken back.
+/// Guards against a defect that affects few calls: the version received more calls than its bound
+/// before it was rolled back.
 #[test]
 fn draws_of_a_flaw_on_few_calls_stay_within_the_bound() {
     let one_route =
@@ -371,7 +372,8 @@
     assert!(beyond.is_empty(), "{}", beyond.join("\n"));
 }
 
-/// A version whose flaw shows on one route, late or beside faults is given more than its bound.
+/// Guards against a defect on one route, with a late start or among other faults: the version received
+/// more calls than its bound.
 #[test]
 fn draws_of_a_flaw_that_hides_stay_within_the_bound() {
     let of = |case: usize, seeds: &'static [u64]| {
--- a/crates/mesh/src/hop.rs
+++ b/crates/mesh/src/hop.rs
@@ -57,8 +57,8 @@
     /// Whether an upstream call that holds a slot elsewhere waits for this one: a refusal would
     /// waste the work that it has already done.
     pub nested: bool,
-    /// Whether the call was sent to another upstream before; the calls that it makes are then
-    /// repeats.
+    /// Whether the call was sent to another upstream before; the calls that it makes then
+    /// count as retries.
     pub repeat: bool,
     /// Whether another upstream has it at the same time: a hedged second attempt.
     pub hedge: bool,
--- a/crates/placement/src/egress_seen.rs
+++ b/crates/placement/src/egress_seen.rs
@@ -12,7 +12,7 @@
     requested_bytes: f64,
     /// Throughput for large responses; 0 if unknown.
     bytes_per_ms: f64,
-    /// When a refusal for lack of link capacity expires, and when the upstream said to retry.
+    /// When a refusal for lack of link capacity expires, and the retry time stated by the upstream.
     full_until: Millis,
     retry_at: Millis,
 }
@@ -43,7 +43,7 @@
         now < self.full_until
     }
 
-    /// When the upstream said that a refused call may be retried.
+    /// When a refused call may be retried, as stated by the upstream.
     pub fn retry_at(&self) -> Millis {
         self.retry_at
     }
--- a/crates/placement/src/upstream.rs
+++ b/crates/placement/src/upstream.rs
@@ -104,7 +104,7 @@
     urgency: Urgency,
     /// When the refusal expires.
     until: Millis,
-    /// When the upstream said that the call may be retried.
+    /// When the call may be retried, as stated by the upstream.
     retry_at: Millis,
 }
 
--- a/crates/quarantine/src/clearings.rs
+++ b/crates/quarantine/src/clearings.rs
@@ -1,8 +1,8 @@
 //! Remembers of which upstream crashes a request was cleared.
 //!
-//! News of a crash, of a quarantine based on it, and of the clearing can arrive late, in any order, and
-//! again from nodes that have not learned of the clearing. So a clearing lists the crashes it covers:
-//! news of those is ignored, and news of later crashes is not.
+//! Notices of a crash, of a quarantine based on it, and of the clearing can arrive late, in any order,
+//! and again from nodes that have not learned of the clearing. So a clearing lists the crashes it
+//! covers: notices of those are ignored, and notices of later crashes are not.
 
 use crate::Millis;
 use mesh::{Clearing, CrashId, Fingerprint};
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -52,7 +52,7 @@
     Suspects(usize),
     /// These requests caused it and are quarantined from now on.
     Quarantined(Vec<QuarantineEntry>),
-    /// A quarantined request caused it, which was processed because the news of its quarantine arrived
+    /// A quarantined request caused it, which was processed because the notice of its quarantine came
     /// too late.
     Explained(Fingerprint),
 }
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Applies the news that a request is quarantined; returns whether it was new. Crashes of which the
+    /// Applies a notice that a request is quarantined; returns whether it was new. Crashes of which the
     /// request was cleared do not count, so that a node that has not learned of the clearing cannot
     /// restore the quarantine.
     pub fn note_quarantined(&mut self, reported: &QuarantineEntry, now: Millis) -> bool {
@@ -285,8 +285,8 @@
         Some(clearing)
     }
 
-    /// Applies the news that a request was cleared elsewhere; returns whether it was new. It can be new
-    /// even without evidence against the request here, because news of its quarantine may still be in
+    /// Applies a notice that a request was cleared elsewhere; returns whether it was new. It can be new
+    /// even without evidence against the request here, because the notice of its quarantine may be in
     /// transit.
     pub fn note_cleared(&mut self, clearing: &Clearing, at: Millis) -> bool {
         let is_new = self.clearings.note(clearing, at);
--- a/crates/quota/src/gate.rs
+++ b/crates/quota/src/gate.rs
@@ -55,7 +55,7 @@
 /// Maximum retry time for callers, milliseconds.
 const MAX_RETRY_MS: Millis = 2_000;
 /// Time for which a reported shortage refuses calls without another request, milliseconds: a tenant
-/// above its limit costs ten requests per second, and its credit meanwhile accumulates in the pool.
+/// above its limit costs ten requests per second, and its credit accumulates in the pool in between.
 const SHORTAGE_MS: Millis = 100;
 /// Interval at which all tenants are checked for credit to prefetch, milliseconds.
 const SCAN_INTERVAL_MS: Millis = 50;
--- a/crates/sidecar/src/calls/endings.rs
+++ b/crates/sidecar/src/calls/endings.rs
@@ -255,7 +255,7 @@
 
     /// Handles a refusal by a peer that has the request in quarantine, which this sidecar did not
     /// know. The call ends here: peers that lack the information would run it, and their upstreams
-    /// might crash. If that peer has only not been told yet that the request was cleared, another
+    /// might crash. If that peer only has not been notified yet that the request was cleared, another
     /// upstream is chosen.
     fn refused_in_quarantine(
         &mut self,
--- a/crates/sidecar/src/calls/time.rs
+++ b/crates/sidecar/src/calls/time.rs
@@ -68,7 +68,7 @@
         active.into_iter().map(|active| CallAction::Abort(active.attempt)).collect()
     }
 
-    /// Gives every call its final answer, because the process is stopping. `was_sent` tells whether
+    /// Gives every call its final answer, because the process is stopping. `was_sent` returns whether
     /// an attempt was sent completely; one that was not cannot have run.
     pub fn end_all(
         &mut self,
--- a/crates/sidecar/src/jobs/crash.rs
+++ b/crates/sidecar/src/jobs/crash.rs
@@ -3,8 +3,8 @@
 //! An upstream that lost only one answer still accepts connections. A job that ended without an
 //! answer is therefore held back, with its slot occupied, until a connection attempt has shown
 //! whether the upstream is alive; this takes a few milliseconds on one machine. If the senders were
-//! told at once, they would retry the request that crashed this upstream at the next one before the
-//! crash was known. A terminating process closes its sockets one after the other and may still
+//! notified at once, they would retry the request that crashed this upstream at the next one before
+//! the crash was known. A terminating process closes its sockets one after the other and may still
 //! accept a connection, so a successful probe is repeated once.
 
 use super::{JobAction, Jobs, UpstreamEnd};
@@ -40,7 +40,7 @@
         instance.is_some() && instance == self.ended_instance.as_ref()
     }
 
-    /// Records a sign of life from an incarnation, which is then no longer considered ended.
+    /// Records a registration message from an incarnation, which is then no longer considered ended.
     pub fn note_registered(&mut self, instance: Option<&Incarnation>) {
         if self.has_ended(instance) {
             self.ended_instance = None;
--- a/crates/sidecar/src/jobs/mod.rs
+++ b/crates/sidecar/src/jobs/mod.rs
@@ -139,7 +139,7 @@
     deadline: Millis,
     arrived: Millis,
     started: Option<Millis>,
-    /// Usual duration at an upstream of normal pace, as reported by the sender, in milliseconds; 0
+    /// Usual duration at an upstream of normal speed, as reported by the sender, in milliseconds; 0
     /// if unknown.
     usual_ms: u32,
     /// Whether another upstream received the call before.
--- a/crates/sidecar/src/poison.rs
+++ b/crates/sidecar/src/poison.rs
@@ -131,7 +131,7 @@
 
     /// Records that the sidecar of an upstream refused a call because its request is in quarantine.
     /// Returns whether the request is in quarantine here as well. It is not if it was cleared and
-    /// the other sidecar has not been told yet.
+    /// the other sidecar has not been notified yet.
     pub fn note_quarantine_refusal(
         &self,
         service: &str,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Clears a request if it is a suspect or in quarantine, and queues the news for coordinators.
+    /// Clears a request if it is a suspect or in quarantine, and queues a notice for coordinators.
     fn clear(&mut self, fingerprint: Fingerprint, now: Millis) {
         if let Some(clearing) = self.quarantine.clear(fingerprint, now) {
             info!(%fingerprint, "suspect_cleared");
--- a/crates/sidecar/src/quota.rs
+++ b/crates/sidecar/src/quota.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 
 /// A call that waits for a credit. It is routed and authenticated again once it has one, because
-/// its route, key or tenant may have been removed meanwhile.
+/// its route, key or tenant may have been removed in the meantime.
 #[derive(Debug)]
 pub(crate) struct WaitingCall {
     pub initiator: Initiator,
@@ -105,7 +105,7 @@
     }
 
     /// Expires old state and logs failures to reach a coordinator; to be called periodically.
-    /// `any_limit` tells whether any tenant has a limit.
+    /// `any_limit` states whether any tenant has a limit.
     pub fn run_maintenance(&mut self, any_limit: bool, now: Millis) {
         self.gate.set_any_limit(any_limit);
         self.gate.expire(now);
--- a/crates/sidecar/src/runtime/mod.rs
+++ b/crates/sidecar/src/runtime/mod.rs
@@ -53,7 +53,7 @@
 const RESTORE_WAIT_MS: u64 = 800;
 
 /// Fraction of the slack for cold upstreams that is available as a burst. The rest covers calls
-/// that were sent before the news that the upstream is cold had arrived.
+/// that were sent before the report that the upstream is cold arrived.
 const BURST_FRACTION_OF_SLACK: f64 = 0.5;
 
 /// The sidecar could not start.
--- a/crates/sidecar/src/stop.rs
+++ b/crates/sidecar/src/stop.rs
@@ -4,8 +4,8 @@
 //! all calls are first served as before, including peers' calls to the local upstream. Then the
 //! calls that arrived in that time are completed, which may take long. In the meantime the local
 //! upstream remains available to peers, and a new call is accepted if its own deadline ensures that
-//! it ends in time. Once the old calls are done, peers are told, and new calls are refused with the
-//! assurance that they have not run; the process exits as soon as no call is left. Shortly before
+//! it ends in time. Once the old calls are done, peers are notified, and new calls are refused with
+//! the assurance that they have not run; the process exits as soon as no call is left. Shortly before
 //! the time limit, every remaining call gets its final answer, so that none is cut off without one.
 
 use crate::Millis;
@@ -13,10 +13,10 @@
 /// How long all new calls are still served, in milliseconds: requests sent this early must not be
 /// cut off.
 const SERVING_MS: u64 = 2_300;
-/// Fraction of the time limit after which peers are told in any case. The rest is left for the
+/// Fraction of the time limit after which peers are notified in any case. The rest is left for the
 /// calls that they sent until then: a few times the usual duration of a call.
 const CLOSE_FRACTION: f64 = 0.55;
-/// After peers are told, calls with a deadline of at most this much are still accepted for this
+/// After peers are notified, calls with a deadline of at most this much are still accepted for this
 /// long, in milliseconds: running jobs make such calls and would fail without them.
 const NESTED_CALL_MS: u64 = 1_300;
 /// Callers that check the readiness use another sidecar after this time, in milliseconds.
@@ -43,7 +43,7 @@
     Serving,
     /// Calls that arrived during the serving phase are completed; peers are still served.
     Finishing,
-    /// Peers were told; the remaining calls are completed.
+    /// Peers were notified; the remaining calls are completed.
     Closed,
     /// The remaining calls get their final answers, which are being sent.
     Ending,
--- a/crates/sidecar/tests/crash.rs
+++ b/crates/sidecar/tests/crash.rs
@@ -380,7 +380,7 @@
     assert_eq!(replies(&node.begin(10, "/x", true, 1_350)).len(), 0, "other calls run");
 }
 
-/// An ended upstream refuses immediately and looks idle, so peers that are not told would try it
+/// An ended upstream refuses immediately and looks idle, so peers that are not notified would try it
 /// first.
 #[test]
 fn an_upstream_that_ended_is_not_there_for_peers_until_it_is_heard_of() {
--- a/crates/sidecar/tests/jobs.rs
+++ b/crates/sidecar/tests/jobs.rs
@@ -467,8 +467,8 @@
     jobs.gate.on_report(&cold, 2, 0);
     jobs.refresh_cold();
     assert!(started(&begin(&mut jobs, 1, 0)).is_some());
-    // The call would have to wait a second, which exceeds its patience; it is told when there is
-    // room.
+    // The call would have to wait a second, which exceeds its patience; the refusal states when
+    // there is room.
     let refused = begin(&mut jobs, 2, 10);
     let [JobAction::Reply { reply, .. }] = &refused[..] else { panic!("{refused:?}") };
     assert_eq!((reply.outcome, jobs.cold_refusals()), (HopOutcome::Refused, 1));
--- a/crates/sidecar/tests/poison_fleet/mod.rs
+++ b/crates/sidecar/tests/poison_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation in virtual time of sidecars and coordinators that exchange news of poison requests.
+//! Simulation in virtual time of sidecars and coordinators that exchange notices of poison requests.
 
 use http1::{Headers, Request};
 use mesh::{Fingerprint, HopReply, NodeAddress, PoisonNotice};
@@ -23,7 +23,7 @@
 const COORDINATORS: usize = 3;
 /// Number of coordinators that a sidecar is linked to; it subscribes to one of them.
 const LINKS: usize = 2;
-/// Interval at which a coordinator sends its news to the others, as in its production loop.
+/// Interval at which a coordinator sends its notices to the others, as in its production loop.
 const EXCHANGE_INTERVAL_MS: u64 = 50;
 /// Interval between calls.
 const CALL_INTERVAL_MS: u64 = 60;
@@ -384,7 +384,7 @@
         }
     }
 
-    /// Sends the news of sidecars to their coordinators, and notices of coordinators to
+    /// Sends the notices of sidecars to their coordinators, and notices of coordinators to
     /// subscribers.
     fn send_news(&mut self) {
         for sidecar in 0..SIDECARS {
--- a/crates/sidecar/tests/stop.rs
+++ b/crates/sidecar/tests/stop.rs
@@ -16,7 +16,7 @@
     plan
 }
 
-/// The phase of a process that has or has not told its peers.
+/// The phase of a process that has or has not notified its peers.
 fn phase(closed: bool, after_ms: u64, in_flight: usize, last_request_after_ms: u64) -> StopPhase {
     let mut plan = plan();
     if closed {
@@ -38,7 +38,7 @@
 #[test]
 fn phases_follow_time_and_activity() {
     let rows = [
-        // peers told, time since the signal, in flight, time of the last request, phase
+        // peers notified, time since the signal, in flight, time of the last request, phase
         (false, 0, 0, 0, StopPhase::Serving),
         (false, 2_000, 0, 0, StopPhase::Serving),
         (false, 2_250, 0, 2_200, StopPhase::Serving),
@@ -64,7 +64,7 @@
 #[test]
 fn peers_are_told_once_the_calls_of_the_time_before_are_finished() {
     let rows = [
-        // arrival of the oldest call, first time at which peers are told
+        // arrival of the oldest call, first time at which peers are notified
         (None, 2_300),
         (Some(100), 3_300),
         (Some(2_299), 3_300),
